--- a/client-proxy/src/clients.rs
+++ b/client-proxy/src/clients.rs
@@ -23,17 +23,18 @@
 use self::client_io::ClientIo;
 use self::connection_state::{ConnectionState, FIRST_REQUEST_TIMEOUT};
 use self::response_body::ResponseBody;
-use crate::config::Names;
 use crate::driver::{Driver, FinalAnswer, FinalResponse};
 use crate::endpoint_pool::{BUFFER_SIZE, EndpointPool, Served, UpstreamBody};
 use crate::headers::strip_hop_headers;
 use crate::memory_budget::MemoryBudget;
 use crate::monitored_stream::{Io, MonitoredStream};
+use crate::names::Names;
 use crate::request_body::{BodyError, PacedBody, Payload, Streaming};
+use crate::request_end::{RequestEnd, Unread};
 use crate::request_head::{BadRequest, origin_form, read_metadata, read_remaining};
 use crate::shutdown::Shutdown;
 use crate::socket_budget::Sockets;
-use crate::upstream_request::{RequestBody, RequestEnd, Unread, UpstreamRequest};
+use crate::upstream_request::{RequestBody, UpstreamRequest};
 
 /// The decisions' time ends so long before the client's: for the way back, and for a timer that comes late.
 const DECISION_MARGIN: Duration = Duration::from_millis(15);
--- a/client-proxy/src/clients/connection_state.rs
+++ b/client-proxy/src/clients/connection_state.rs
@@ -12,7 +12,7 @@
 
 use super::LINGER_TIME;
 use crate::monitored_stream::MonitoredStream;
-use crate::upstream_request::RequestEnd;
+use crate::request_end::RequestEnd;
 
 /// A head has so long from its first byte, and a connection on which none begins is closed after as long: it
 /// holds a place. A first request has to come within the other of its connection: peers are owed an end
--- a/client-proxy/src/config.rs
+++ b/client-proxy/src/config.rs
@@ -1,14 +1,15 @@
 //! What this client proxy is told at its start: `$GW_CONFIG`, and the variables that stand above it.
 
 use std::net::SocketAddr;
-use std::{env, fs, io};
+use std::{env, fs};
 
-use balancer::{Settings, SettingsError};
+use balancer::Settings;
 use serde::Deserialize;
 use simulator_adapter::{WireSettings, read_settings};
-use thiserror::Error;
 
+use crate::config_error::ConfigError;
 use crate::fleet_config::{FleetConfig, Relays};
+use crate::names::Names;
 
 /// What a process may hold where the configuration does not say.
 const SOCKETS: usize = 1024;
@@ -17,45 +18,6 @@
 /// Fewer descriptors than this leave no room for clients beside discovery and the process's own.
 const SOCKETS_LEAST: usize = 64;
 
-/// Why the program cannot start; each reads as one line that names the field.
-#[derive(Debug, Error)]
-pub enum ConfigError {
-    /// A variable that has to be there is not.
-    #[error("{0} is not set")]
-    Unset(&'static str),
-    /// The file cannot be read.
-    #[error("{variable}: {path}: {source}")]
-    Unreadable {
-        /// The one that names it.
-        variable: &'static str,
-        /// As the variable has it.
-        path: String,
-        /// What the system said.
-        source: io::Error,
-    },
-    /// A field of the file is missing or of the wrong form.
-    #[error("GW_CONFIG: {field}: {problem}")]
-    Field {
-        /// Its path, such as `settings.limits.attemptsCap`.
-        field: String,
-        /// What is wrong.
-        problem: String,
-    },
-    /// A key of the second file is unknown, or of the wrong form.
-    #[error("GW_FLEET: {path}: {key}: {problem}")]
-    Part {
-        /// As the variable has it.
-        path: String,
-        /// Its table and name, or its line.
-        key: String,
-        /// What is wrong.
-        problem: String,
-    },
-    /// The decisions cannot work with these settings.
-    #[error("GW_CONFIG: {0}")]
-    Settings(#[from] SettingsError),
-}
-
 /// All of the configuration, checked.
 pub struct Config {
     /// The name of this client proxy, for the log.
@@ -82,19 +44,6 @@
     pub names: Names,
 }
 
-/// The names behind the numbers of the settings.
-#[derive(Clone, Debug, Default)]
-pub struct Names {
-    /// Of the classes of requests.
-    pub classes: Vec<String>,
-    /// Of the tenants; may be empty.
-    pub tenants: Vec<String>,
-    /// Of the zones.
-    pub zones: Vec<String>,
-    /// Of the kinds of endpoints.
-    pub kinds: Vec<String>,
-}
-
 /// The variables that stand above the file.
 struct Given {
     name: Option<String>,
--- a/client-proxy/src/discovery.rs
+++ b/client-proxy/src/discovery.rs
@@ -21,9 +21,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::config::Names;
 use crate::driver::{DiscoveryCommand, Driver};
 use crate::endpoint_pool::EndpointPool;
+use crate::names::Names;
 use crate::process_state::ProcessState;
 
 pub use self::source_selector::SourceSelector;
--- a/client-proxy/src/driver.rs
+++ b/client-proxy/src/driver.rs
@@ -25,8 +25,8 @@
 use self::actions::attempt_end;
 use self::metrics::OutcomeCounts;
 use crate::clock::{Clock, unix_ms};
-use crate::config::Names;
 use crate::endpoint_pool::{AttemptResult, EndpointPool};
+use crate::names::Names;
 use crate::process_state::{ProcessState, State};
 use crate::upstream_request::UpstreamRequest;
 
--- a/client-proxy/src/fleet_config.rs
+++ b/client-proxy/src/fleet_config.rs
@@ -10,7 +10,8 @@
 use hyper::http::uri::Authority;
 use serde::Deserialize;
 
-use crate::config::{ConfigError, Names};
+use crate::config_error::ConfigError;
+use crate::names::Names;
 
 /// The tables.
 #[derive(Debug, Default, Deserialize)]
--- a/client-proxy/src/process_state.rs
+++ b/client-proxy/src/process_state.rs
@@ -26,7 +26,7 @@
 pub use self::put_back::PutBackTimes;
 use self::state_file::{Contents, FailedChange, Fingerprint, StateFile, StateFileError, Verdict};
 use crate::clock::{Clock, boot_id};
-use crate::config::Names;
+use crate::names::Names;
 
 /// With what the names of the stored files begin, on behalf of earlier versions: two processes of an upgrade share the files, and
 /// the older one knows them by this name alone.
--- a/client-proxy/src/upstream_request/tests.rs
+++ b/client-proxy/src/request_end/tests.rs
@@ -1,3 +1,5 @@
+use tokio::time::Instant;
+
 use super::*;
 
 /// How long `end` was waited for, and whether it was reached.
