--- a/client-proxy/src/config.rs
+++ b/client-proxy/src/config.rs
@@ -5,7 +5,7 @@
 
 use balancer::Settings;
 use serde::Deserialize;
-use simulator_adapter::{WireSettings, read_settings};
+use simulator_adapter::{WireSettings, convert_settings};
 
 use crate::config_error::ConfigError;
 use crate::fleet_config::{FleetConfig, Relays};
@@ -133,14 +133,14 @@
         let seed = u64::from_str_radix(&seed, 16).map_err(|_| wrong("seed", "is not hex digits"))?;
         let names = Names {
             classes: file.settings.classes.iter().map(|class| class.name.clone()).collect(),
-            tenants: file.settings.customers.iter().map(|tenant| tenant.name.clone()).collect(),
+            tenants: file.settings.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
             zones: file.settings.zones.clone(),
             kinds: file.settings.kinds.clone(),
         };
         if let Some(i) = names.classes.iter().position(String::is_empty) {
             return Err(wrong(&format!("settings.classes[{i}].name"), "is missing"));
         }
-        let settings = read_settings(file.settings);
+        let settings = convert_settings(file.settings);
         settings.check()?;
         if settings.classes.iter().any(|class| class.streamed) {
             return Err(wrong("settings.classes", "streamed classes are not served by this program"));
--- a/client-proxy/src/driver/tests.rs
+++ b/client-proxy/src/driver/tests.rs
@@ -1,4 +1,4 @@
-use simulator_adapter::{WireSettings, read_settings};
+use simulator_adapter::{WireSettings, convert_settings};
 use tokio::task::LocalSet;
 
 use std::time::Duration;
@@ -18,7 +18,7 @@
             "discovery":"automatic","limits":{"attemptsCap":1},"tick":1}"#,
     )
     .expect("all that is required");
-    read_settings(settings)
+    convert_settings(settings)
 }
 
 /// One that knows no endpoint.
--- a/client-proxy/src/endpoint_pool/response.rs
+++ b/client-proxy/src/endpoint_pool/response.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Incoming, SizeHint};
 use hyper::header::{CONTENT_TYPE, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
-use simulator_adapter::{Metrics, read_metrics};
+use simulator_adapter::{Metrics, convert_load_report};
 use thiserror::Error;
 
 use super::connection::PooledConnection;
@@ -159,5 +159,5 @@
         };
         *field = value.trim().parse().ok().filter(|number: &f64| number.is_finite());
     }
-    read_metrics(&metrics)
+    convert_load_report(&metrics)
 }
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -1,10 +1,11 @@
-//! The simulator's wire, and the settings in the form that it and a real client proxy's configuration share.
+//! Adapter between the simulator's protocol and [`balancer::Balancer`], and the JSON form of the settings,
+//! which the client proxy's configuration file uses too.
 #![forbid(unsafe_code)]
 
 mod link;
 mod settings;
 mod wire;
 
-pub use link::{LinkError, read_metrics, run};
-pub use settings::{WireSettings, read_settings};
+pub use link::{AdapterError, convert_load_report, run};
+pub use settings::{WireSettings, convert_settings};
 pub use wire::Metrics;
--- a/simulator-adapter/src/link.rs
+++ b/simulator-adapter/src/link.rs
@@ -1,4 +1,4 @@
-//! Turns wire lines into events and actions into wire lines.
+//! Converts protocol messages to balancer events, and balancer actions to protocol messages.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -11,91 +11,93 @@
 };
 use thiserror::Error;
 
-use crate::settings::read_settings;
-use crate::wire::{Form, Incoming, Metrics, Outgoing, Row, RowPhase, To};
+use crate::settings::convert_settings;
+use crate::wire::{Incoming, ListEntry, ListEntryState, Metrics, Outgoing, Recipient, UpdateKind};
 
-/// Why the conversation cannot go on.
+/// An error that ends the adapter.
 #[derive(Debug, Error)]
-pub enum LinkError {
-    /// Reading or writing failed.
+pub enum AdapterError {
+    /// Reading the input or writing the output failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A line that cannot be understood, or that cannot be meant.
-    #[error("line {number}: {problem}")]
-    Line {
-        /// Counted from 1.
-        number: u64,
-        /// What is wrong with it.
+    /// A message that cannot be parsed, or that is not allowed at this point.
+    #[error("line {line_number}: {problem}")]
+    InvalidMessage {
+        /// Line of the input, counted from 1.
+        line_number: u64,
+        /// What is wrong with the message.
         problem: String,
     },
 }
 
-/// What the adapter remembers of a request: its word on the wire and how much may still be said of it.
-struct Job {
-    word: Rc<str>,
-    attempts_out: u32,
+/// A request that the balancer or an attempt may still refer to.
+struct RequestState {
+    /// Its identifier in the protocol.
+    wire_id: Rc<str>,
+    attempts_in_flight: u32,
     ended: bool,
 }
 
-/// One balancer with its words.
-struct Instance {
+/// A balancer, and the requests that it handles.
+struct BalancerInstance {
     balancer: Balancer,
+    /// Balancer's request identifiers by their identifiers in the protocol.
     ids: BTreeMap<Rc<str>, u64>,
-    jobs: BTreeMap<u64, Job>,
+    requests: BTreeMap<u64, RequestState>,
     next_id: u64,
 }
 
-impl Instance {
-    fn id(&self, word: &str) -> Option<RequestId> {
-        self.ids.get(word).map(|id| RequestId(*id))
+impl BalancerInstance {
+    fn id(&self, wire_id: &str) -> Option<RequestId> {
+        self.ids.get(wire_id).map(|id| RequestId(*id))
     }
 
-    fn take_in(&mut self, word: &str) -> RequestId {
+    fn add_request(&mut self, wire_id: &str) -> RequestId {
         let id = self.next_id;
         self.next_id += 1;
-        let word: Rc<str> = word.into();
-        self.ids.insert(Rc::clone(&word), id);
-        self.jobs.insert(id, Job { word, attempts_out: 0, ended: false });
+        let wire_id: Rc<str> = wire_id.into();
+        self.ids.insert(Rc::clone(&wire_id), id);
+        self.requests.insert(id, RequestState { wire_id, attempts_in_flight: 0, ended: false });
         RequestId(id)
     }
 
-    fn note(&mut self, id: RequestId, change: impl FnOnce(&mut Job)) {
-        if let Some(job) = self.jobs.get_mut(&id.0) {
-            change(job);
+    fn update_request(&mut self, id: RequestId, change: impl FnOnce(&mut RequestState)) {
+        if let Some(request) = self.requests.get_mut(&id.0) {
+            change(request);
         }
     }
 
-    /// Drops the word of a request once nothing more can be said of it.
-    fn forget_if_over(&mut self, id: RequestId) {
-        if self.jobs.get(&id.0).is_some_and(|job| job.ended && job.attempts_out == 0)
-            && let Some(job) = self.jobs.remove(&id.0)
+    /// Removes a request that has ended and has no attempt in flight: no message can refer to it any more.
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.requests.get(&id.0).is_some_and(|request| request.ended && request.attempts_in_flight == 0)
+            && let Some(request) = self.requests.remove(&id.0)
         {
-            self.ids.remove(&job.word);
+            self.ids.remove(&request.wire_id);
         }
     }
 }
 
-/// Speaks the wire until the input ends.
+/// Reads messages and writes replies until the end of the input.
 ///
 /// # Errors
-/// Where reading or writing fails, or a line cannot be understood.
-pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), LinkError> {
-    let mut link = Link::default();
+/// If reading or writing fails, or on a message that is malformed or not allowed at this point.
+pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut adapter = Adapter::default();
     let mut line = Vec::new();
     let mut reply = Vec::new();
-    let mut number = 0;
+    let mut line_number = 0;
     loop {
         line.clear();
         if input.read_until(b'\n', &mut line)? == 0 {
             return Ok(());
         }
-        number += 1;
+        line_number += 1;
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let wrong = |problem: String| LinkError::Line { number, problem };
-        let message = serde_json::from_slice(&line).map_err(|error| wrong(plain(&error)))?;
-        if link.take(message, &mut reply).map_err(wrong)? {
+        let invalid = |problem: String| AdapterError::InvalidMessage { line_number, problem };
+        let message = serde_json::from_slice(&line).map_err(|error| invalid(json_problem(&error)))?;
+        if adapter.handle(message, &mut reply).map_err(invalid)? {
             output.write_all(&reply)?;
             output.flush()?;
             reply.clear();
@@ -103,8 +105,8 @@
     }
 }
 
-/// What serde has to say, with the column alone: the line that it counts is always the first.
-fn plain(error: &serde_json::Error) -> String {
+/// The text of a JSON error, without its line number: each line is parsed by itself, so that is always 1.
+fn json_problem(error: &serde_json::Error) -> String {
     let text = error.to_string();
     match text.rsplit_once(" at line ") {
         Some((problem, _)) => format!("{problem} at column {}", error.column()),
@@ -113,150 +115,165 @@
 }
 
 #[derive(Default)]
-struct Link {
+struct Adapter {
+    /// Time of the current batch; `None` between batches.
     now: Option<f64>,
-    pools: BTreeMap<u8, Vec<EndpointEntry>>,
-    instances: BTreeMap<u32, Instance>,
+    endpoint_lists: BTreeMap<u8, Vec<EndpointEntry>>,
+    instances: BTreeMap<u32, BalancerInstance>,
+    /// Empty between events; kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
-impl Link {
-    /// Takes one message; true when a reply is due.
-    fn take(&mut self, message: Incoming<'_>, reply: &mut Vec<u8>) -> Result<bool, String> {
-        if let Incoming::Turn { time } = message {
+impl Adapter {
+    /// Handles one message. Returns true at the end of a batch, when `reply` is complete.
+    fn handle(&mut self, message: Incoming<'_>, reply: &mut Vec<u8>) -> Result<bool, String> {
+        if let Incoming::BatchStart { time } = message {
             return match self.now.replace(time) {
                 None => Ok(false),
-                Some(_) => Err("a turn begins before the last one is over".into()),
+                Some(_) => Err("TURN before the end of the previous batch".into()),
             };
         }
-        let now = self.now.ok_or("this line stands outside a turn")?;
+        let now = self.now.ok_or("message outside a batch: expected TURN first")?;
         match message {
-            Incoming::Turn { .. } => {}
-            Incoming::YourTurn {} => {
+            Incoming::BatchStart { .. } => {}
+            Incoming::BatchEnd {} => {
                 self.now = None;
-                put(reply, &Outgoing::Eor {});
+                write_message(reply, &Outgoing::EndOfReply {});
                 return Ok(true);
             }
-            Incoming::Up { proxy, prng, settings } => match Balancer::new(read_settings(*settings), prng) {
-                Ok(balancer) => {
-                    let instance =
-                        Instance { balancer, ids: BTreeMap::new(), jobs: BTreeMap::new(), next_id: 0 };
-                    self.instances.insert(proxy, instance);
+            Incoming::StartBalancer { proxy, seed, settings } => {
+                match Balancer::new(convert_settings(*settings), seed) {
+                    Ok(balancer) => {
+                        let instance = BalancerInstance {
+                            balancer,
+                            ids: BTreeMap::new(),
+                            requests: BTreeMap::new(),
+                            next_id: 0,
+                        };
+                        self.instances.insert(proxy, instance);
+                    }
+                    Err(error) => {
+                        write_message(reply, &Outgoing::BalancerFailed { proxy, message: &error.to_string() })
+                    }
                 }
-                Err(error) => put(reply, &Outgoing::Broken { proxy, message: &error.to_string() }),
-            },
-            Incoming::Destroy { proxy } => {
-                self.instances.remove(&proxy).ok_or_else(|| not_up(proxy))?;
             }
-            Incoming::Pool { roster_id, rows } => {
-                self.pools.insert(roster_id, rows.iter().map(read_row).collect());
+            Incoming::StopBalancer { proxy } => {
+                self.instances.remove(&proxy).ok_or_else(|| not_running(proxy))?;
             }
-            Incoming::View { proxy, roster_id, form } => {
-                let news = match form {
-                    Form::Error => EndpointUpdate::Failed,
-                    listed => {
-                        let pool = self.pools.get(&roster_id);
-                        let rows = pool.ok_or_else(|| format!("list {roster_id} was never set up"))?.clone();
-                        match listed {
-                            Form::Partial => EndpointUpdate::Changes(rows),
-                            Form::Complete => EndpointUpdate::FullSnapshot(rows),
-                            _ => EndpointUpdate::CachedSnapshot(rows),
+            Incoming::EndpointList { list_id, entries } => {
+                self.endpoint_lists.insert(list_id, entries.iter().map(convert_entry).collect());
+            }
+            Incoming::EndpointUpdate { proxy, list_id, kind } => {
+                let update = match kind {
+                    UpdateKind::Failed => EndpointUpdate::Failed,
+                    with_entries => {
+                        let list = self.endpoint_lists.get(&list_id);
+                        let entries =
+                            list.ok_or_else(|| format!("endpoint list {list_id} is unknown"))?.clone();
+                        match with_entries {
+                            UpdateKind::Changes => EndpointUpdate::Changes(entries),
+                            UpdateKind::FullSnapshot => EndpointUpdate::FullSnapshot(entries),
+                            _ => EndpointUpdate::CachedSnapshot(entries),
                         }
                     }
                 };
-                self.decide(now, proxy, Event::Endpoints(news), reply)?;
+                self.dispatch(now, proxy, Event::Endpoints(update), reply)?;
             }
-            Incoming::Inbound {
+            Incoming::Request {
                 proxy,
-                job,
+                request,
                 is_retry,
                 update,
-                patience_left,
-                band,
+                remaining_deadline,
+                class,
                 size_hint,
-                owner,
-                target_key,
+                tenant,
+                key,
             } => {
-                let instance = self.up(proxy)?;
-                if instance.id(&job).is_some() {
-                    return Ok(false); // the first of that name is still to be answered
+                let instance = self.instance(proxy)?;
+                if instance.id(&request).is_some() {
+                    return Ok(false); // duplicate: the first one has not ended yet
                 }
-                let metadata = RequestMetadata {
-                    class: band,
-                    tenant: owner,
-                    is_retry,
-                    update,
-                    size_hint,
-                    key: target_key,
-                };
-                let id = instance.take_in(&job);
-                let request = NewRequest { id, patience: patience_left, body_pending: false, metadata };
-                self.decide(now, proxy, Event::Request(request), reply)?;
+                let metadata = RequestMetadata { class, tenant, is_retry, update, size_hint, key };
+                let id = instance.add_request(&request);
+                let request = NewRequest { id, patience: remaining_deadline, body_pending: false, metadata };
+                self.dispatch(now, proxy, Event::Request(request), reply)?;
             }
-            Incoming::FirstByte { proxy, job, leg } => {
-                if let Some(id) = self.up(proxy)?.id(&job) {
-                    self.decide(now, proxy, Event::FirstByte { id, attempt: leg }, reply)?;
+            Incoming::FirstByte { proxy, request, attempt } => {
+                if let Some(id) = self.instance(proxy)?.id(&request) {
+                    self.dispatch(now, proxy, Event::FirstByte { id, attempt }, reply)?;
                 }
             }
-            Incoming::Finished { proxy, job, leg, how, latency, terminal, metrics } => {
-                let instance = self.up(proxy)?;
-                if let Some(id) = instance.id(&job) {
-                    instance.note(id, |job| {
-                        job.attempts_out = job.attempts_out.saturating_sub(1);
-                        job.ended |= terminal;
+            Incoming::AttemptFinished {
+                proxy,
+                request,
+                attempt,
+                status_code,
+                latency,
+                request_ended,
+                metrics,
+            } => {
+                let instance = self.instance(proxy)?;
+                if let Some(id) = instance.id(&request) {
+                    instance.update_request(id, |request| {
+                        request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
+                        request.ended |= request_ended;
                     });
                     let end = AttemptEnd {
                         id,
-                        attempt: leg,
-                        outcome: read_outcome(how),
+                        attempt,
+                        outcome: convert_outcome(status_code),
                         latency,
-                        ended: terminal,
-                        report: read_metrics(&metrics),
+                        ended: request_ended,
+                        report: convert_load_report(&metrics),
                         cannot_resend: false,
                     };
-                    self.decide(now, proxy, Event::Finished(end), reply)?;
-                    self.up(proxy)?.forget_if_over(id);
+                    self.dispatch(now, proxy, Event::Finished(end), reply)?;
+                    self.instance(proxy)?.remove_if_done(id);
                 }
             }
-            Incoming::Vanished { proxy, job } => {
-                let instance = self.up(proxy)?;
-                if let Some(id) = instance.id(&job) {
-                    instance.note(id, |job| job.ended = true);
-                    self.decide(now, proxy, Event::ClientGone { id }, reply)?;
-                    self.up(proxy)?.forget_if_over(id);
+            Incoming::ClientDisconnected { proxy, request } => {
+                let instance = self.instance(proxy)?;
+                if let Some(id) = instance.id(&request) {
+                    instance.update_request(id, |request| request.ended = true);
+                    self.dispatch(now, proxy, Event::ClientGone { id }, reply)?;
+                    self.instance(proxy)?.remove_if_done(id);
                 }
             }
-            Incoming::Reminder { proxy, mark } => {
-                self.decide(now, proxy, Event::Timer { token: mark }, reply)?;
+            Incoming::TimerFired { proxy, token } => {
+                self.dispatch(now, proxy, Event::Timer { token }, reply)?;
             }
-            Incoming::Echo { proxy, host, how, latency, metrics } => {
+            Incoming::ProbeFinished { proxy, endpoint, status_code, latency, metrics } => {
                 let event = Event::Probed {
-                    endpoint: EndpointId(host),
-                    outcome: read_outcome(how),
+                    endpoint: EndpointId(endpoint),
+                    outcome: convert_outcome(status_code),
                     latency,
-                    report: read_metrics(&metrics),
+                    report: convert_load_report(&metrics),
                 };
-                self.decide(now, proxy, event, reply)?;
+                self.dispatch(now, proxy, event, reply)?;
             }
-            Incoming::Datagram { proxy, src, content } => {
-                let content = from_hex(&content).ok_or("content is not pairs of hex digits")?;
-                self.decide(now, proxy, Event::Peer { from: src, content }, reply)?;
+            Incoming::PeerMessage { proxy, sender, content } => {
+                let content = from_hex(&content).ok_or("message content is not valid hexadecimal")?;
+                self.dispatch(now, proxy, Event::Peer { from: sender, content }, reply)?;
             }
         }
         Ok(false)
     }
 
-    fn up(&mut self, proxy: u32) -> Result<&mut Instance, String> {
-        self.instances.get_mut(&proxy).ok_or_else(|| not_up(proxy))
+    fn instance(&mut self, proxy: u32) -> Result<&mut BalancerInstance, String> {
+        self.instances.get_mut(&proxy).ok_or_else(|| not_running(proxy))
     }
 
-    /// Hands an event to its balancer and writes down what that does about it.
-    fn decide(&mut self, now: f64, proxy: u32, event: Event, reply: &mut Vec<u8>) -> Result<(), String> {
+    /// Passes an event to its balancer and appends the resulting actions to the reply.
+    fn dispatch(&mut self, now: f64, proxy: u32, event: Event, reply: &mut Vec<u8>) -> Result<(), String> {
         let mut actions = std::mem::take(&mut self.actions);
-        let instance = self.up(proxy)?;
+        let instance = self.instance(proxy)?;
         let handled = catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, event, &mut actions)));
         if handled.is_err() {
-            put(reply, &Outgoing::Broken { proxy, message: "the decisions panicked; see standard error" });
+            write_message(
+                reply,
+                &Outgoing::BalancerFailed { proxy, message: "the decisions panicked; see standard error" },
+            );
             actions.clear();
         }
         for action in actions.drain(..) {
@@ -267,58 +284,69 @@
     }
 }
 
-fn not_up(proxy: u32) -> String {
-    format!("instance {proxy} is not up")
+fn not_running(proxy: u32) -> String {
+    format!("balancer {proxy} is not running")
 }
 
-fn put(reply: &mut Vec<u8>, message: &Outgoing<'_>) {
-    serde_json::to_writer(&mut *reply, message).expect("plain data always serializes into memory");
+fn write_message(reply: &mut Vec<u8>, message: &Outgoing<'_>) {
+    serde_json::to_writer(&mut *reply, message).expect("serializing a message to memory cannot fail");
     reply.push(b'\n');
 }
 
-fn write_action(proxy: u32, instance: &mut Instance, action: &Action, reply: &mut Vec<u8>) {
-    let word = |id: &RequestId| instance.jobs.get(&id.0).map(|job| Rc::clone(&job.word));
+fn write_action(proxy: u32, instance: &mut BalancerInstance, action: &Action, reply: &mut Vec<u8>) {
+    let wire_id = |id: &RequestId| instance.requests.get(&id.0).map(|request| Rc::clone(&request.wire_id));
     match action {
         Action::Send { id, endpoint, timeout } => {
-            let Some(job) = word(id) else { return };
-            put(reply, &Outgoing::Relay { proxy, job: &job, allow_for: *timeout, host: endpoint.0 });
-            instance.note(*id, |job| job.attempts_out += 1);
+            let Some(request) = wire_id(id) else { return };
+            write_message(
+                reply,
+                &Outgoing::SendAttempt { proxy, request: &request, timeout: *timeout, endpoint: endpoint.0 },
+            );
+            instance.update_request(*id, |request| request.attempts_in_flight += 1);
         }
         Action::Cancel { id, attempt } => {
-            let Some(job) = word(id) else { return };
-            put(reply, &Outgoing::AbortAttempt { proxy, job: &job, leg: *attempt });
+            let Some(request) = wire_id(id) else { return };
+            write_message(reply, &Outgoing::CancelAttempt { proxy, request: &request, attempt: *attempt });
         }
         Action::Refuse { id, retry_after } => {
-            let Some(job) = word(id) else { return };
-            put(reply, &Outgoing::Decline { proxy, job: &job, come_back: *retry_after });
-            instance.note(*id, |job| job.ended = true);
-            instance.forget_if_over(*id);
+            let Some(request) = wire_id(id) else { return };
+            write_message(
+                reply,
+                &Outgoing::RejectRequest { proxy, request: &request, retry_after: *retry_after },
+            );
+            instance.update_request(*id, |request| request.ended = true);
+            instance.remove_if_done(*id);
         }
         Action::Fail { id } => {
-            let Some(job) = word(id) else { return };
-            put(reply, &Outgoing::DropRequest { proxy, job: &job });
-            instance.note(*id, |job| job.ended = true);
-            instance.forget_if_over(*id);
+            let Some(request) = wire_id(id) else { return };
+            write_message(reply, &Outgoing::FailRequest { proxy, request: &request });
+            instance.update_request(*id, |request| request.ended = true);
+            instance.remove_if_done(*id);
         }
         Action::Timer { at, token } => {
-            put(reply, &Outgoing::NotifyMe { proxy, alarm_time: *at, mark: *token });
+            write_message(reply, &Outgoing::SetTimer { proxy, at: *at, token: *token });
+        }
+        Action::Probe { endpoint } => {
+            write_message(reply, &Outgoing::ProbeEndpoint { proxy, endpoint: endpoint.0 })
+        }
+        Action::CloseIdle { endpoint } => {
+            write_message(reply, &Outgoing::CloseIdleConnections { proxy, endpoint: endpoint.0 })
         }
-        Action::Probe { endpoint } => put(reply, &Outgoing::Inspect { proxy, host: endpoint.0 }),
-        Action::CloseIdle { endpoint } => put(reply, &Outgoing::FreeLinks { proxy, host: endpoint.0 }),
         Action::SendToPeer { to, content } => {
-            let to = to.map_or(To::All("all"), To::One);
-            put(reply, &Outgoing::BroadcastTo { proxy, to, content: to_hex(content) });
+            let to = to.map_or(Recipient::All("all"), Recipient::One);
+            write_message(reply, &Outgoing::SendToPeer { proxy, to, content: to_hex(content) });
         }
-        // The simulator gives the numbers, and never gives them up.
+        // The simulator assigns the endpoint identifiers and never reuses them: nothing has to be released.
         Action::Forget { .. } => {}
-        Action::Watch => put(reply, &Outgoing::Tail { proxy, active: true }),
-        Action::Fetch => put(reply, &Outgoing::Lookup { proxy }),
-        Action::Log(message) => put(reply, &Outgoing::Trace { proxy, message }),
+        Action::Watch => write_message(reply, &Outgoing::WatchDiscovery { proxy, active: true }),
+        Action::Fetch => write_message(reply, &Outgoing::PollDiscovery { proxy }),
+        Action::Log(message) => write_message(reply, &Outgoing::Log { proxy, message }),
     }
 }
 
-fn read_outcome(code: i64) -> Outcome {
-    match code {
+/// Converts the status code of an attempt or probe in the protocol.
+fn convert_outcome(status_code: i64) -> Outcome {
+    match status_code {
         0 => Outcome::Served,
         13 => Outcome::Error,
         8 => Outcome::Rejected,
@@ -331,8 +359,8 @@
     }
 }
 
-/// A load report in the decisions' form.
-pub fn read_metrics(metrics: &Metrics) -> LoadReport {
+/// Converts a load report to the balancer's form.
+pub fn convert_load_report(metrics: &Metrics) -> LoadReport {
     LoadReport {
         outstanding: metrics.outstanding,
         backlog: metrics.backlog,
@@ -343,18 +371,18 @@
     }
 }
 
-fn read_row(row: &Row) -> EndpointEntry {
+fn convert_entry(entry: &ListEntry) -> EndpointEntry {
     EndpointEntry {
-        endpoint: EndpointId(row.host),
-        zone: row.rack_zone,
-        kind: row.machine,
-        cell: row.block,
-        weight: row.weight,
-        started: (row.launched > 0.0).then_some(row.launched),
-        phase: match row.phase {
-            RowPhase::Up => EndpointState::Up,
-            RowPhase::Draining => EndpointState::Draining,
-            RowPhase::Removed => EndpointState::Removed,
+        endpoint: EndpointId(entry.endpoint),
+        zone: entry.zone,
+        kind: entry.kind,
+        cell: entry.cell,
+        weight: entry.weight,
+        started: (entry.started_at > 0.0).then_some(entry.started_at),
+        phase: match entry.state {
+            ListEntryState::Up => EndpointState::Up,
+            ListEntryState::Draining => EndpointState::Draining,
+            ListEntryState::Removed => EndpointState::Removed,
         },
     }
 }
@@ -364,10 +392,10 @@
 }
 
 fn from_hex(text: &str) -> Option<Vec<u8>> {
-    if !text.bytes().all(|b| b.is_ascii_hexdigit()) || !text.len().is_multiple_of(2) {
+    if !text.bytes().all(|byte| byte.is_ascii_hexdigit()) || !text.len().is_multiple_of(2) {
         return None;
     }
-    (0..text.len()).step_by(2).map(|i| u8::from_str_radix(&text[i..i + 2], 16).ok()).collect()
+    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).ok()).collect()
 }
 
 #[cfg(test)]
--- a/simulator-adapter/src/link/tests.rs
+++ b/simulator-adapter/src/link/tests.rs
@@ -1,18 +1,19 @@
 use super::*;
 use crate::settings::WireSettings;
 
-/// Every action, though the present rules may not take all of them.
+/// Covers every action, also those that the balancer does not produce at present.
 #[test]
-fn actions_as_the_wire_has_them() {
+fn actions_have_documented_json_form() {
     let settings: WireSettings = serde_json::from_str(
         r#"{"me":0,"balancers":1,"classes":[{"aim":1,"hardLimit":2,"semantics":"safe","points":1}],
                 "contract":{"cold":1,"coldFrom":1,"drainGrace":1,"fall":1,"fallMultiple":1,"graceToAnswer":1},
                 "discovery":"automatic","limits":{"attemptsCap":1},"tick":1}"#,
     )
-    .expect("all that is required");
-    let balancer = Balancer::new(read_settings(settings), 1).expect("usable");
-    let mut instance = Instance { balancer, ids: BTreeMap::new(), jobs: BTreeMap::new(), next_id: 0 };
-    let id = instance.take_in("r-ahg8m23");
+    .expect("settings with all required fields");
+    let balancer = Balancer::new(convert_settings(settings), 1).expect("valid settings");
+    let mut instance =
+        BalancerInstance { balancer, ids: BTreeMap::new(), requests: BTreeMap::new(), next_id: 0 };
+    let id = instance.add_request("r-ahg8m23");
     let endpoint = EndpointId(51530247);
     let cases = [
         (
@@ -43,19 +44,19 @@
         (Action::Fetch, r#"{"LOOKUP":{"proxy":3}}"#),
         (Action::Log("two servers known".into()), r#"{"TRACE":{"proxy":3,"message":"two servers known"}}"#),
     ];
-    for (action, line) in cases {
+    for (action, expected) in cases {
         let mut reply = Vec::new();
         write_action(3, &mut instance, &action, &mut reply);
-        assert_eq!(String::from_utf8(reply).expect("UTF-8"), format!("{line}\n"));
+        assert_eq!(String::from_utf8(reply).expect("UTF-8"), format!("{expected}\n"));
     }
-    assert!(instance.jobs.contains_key(&0), "an attempt is still out");
+    assert!(instance.requests.contains_key(&0), "request removed while an attempt is in flight");
 }
 
 #[test]
-fn hex_goes_both_ways() {
+fn hex_encodes_and_decodes() {
     assert_eq!(from_hex("68692037"), Some(b"hi 7".to_vec()));
     assert_eq!(to_hex(b"hi 7"), "68692037");
-    for bad in ["6", "zz", "+1", "é1"] {
-        assert_eq!(from_hex(bad), None, "{bad}");
+    for invalid in ["6", "zz", "+1", "é1"] {
+        assert_eq!(from_hex(invalid), None, "{invalid}");
     }
 }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts balancers on the simulator's wire: one line in, one event; one action, one line out.
+//! Runs balancers for the simulator: reads one JSON message per line from standard input and writes the
+//! balancers' actions as JSON lines to standard output.
 #![forbid(unsafe_code)]
 
 use std::io;
--- a/simulator-adapter/src/settings.rs
+++ b/simulator-adapter/src/settings.rs
@@ -1,5 +1,8 @@
-//! The settings as the platform writes them, in the simulator's configuration and a client proxy's alike, and their
-//! translation: the names on the wire go no further in.
+//! The settings in JSON form and their conversion to [`balancer::Settings`].
+//!
+//! The simulator's `UP` message and a client proxy's configuration file have the same JSON format. Its names
+//! are fixed from outside; where they differ from the balancer's terms, a field has the balancer's term here
+//! and keeps the outer name by `#[serde(rename)]`. Times are in milliseconds unless a name says otherwise.
 
 use balancer::{
     Class, Contract, Discovery, Effect, Goal, KeyScope, Limits, Prices, Reporting, Reports, Settings, Tenant,
@@ -7,57 +10,60 @@
 };
 use serde::Deserialize;
 
-/// The settings as the platform writes them. The names are the wire's.
+/// The settings of one balancer, as they stand in the simulator's `UP` message and in a configuration file.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireSettings {
-    /// Number of this balancer, from 0.
-    pub me: u32,
-    /// How many balancers share the endpoints.
-    pub balancers: u32,
-    /// What clients do.
-    #[serde(default)]
-    pub callers: Callers,
-    /// Classes of requests.
+    /// Index of this balancer among all balancers, from 0.
+    #[serde(rename = "me")]
+    pub balancer_index: u32,
+    /// Number of balancers that share the endpoints.
+    #[serde(rename = "balancers")]
+    pub balancer_count: u32,
+    /// Behaviour of the clients.
+    #[serde(default, rename = "callers")]
+    pub clients: WireClients,
+    /// Request classes.
     pub classes: Vec<WireClass>,
-    /// Limits of the rules.
+    /// Time limits and slow-start parameters that every balancer must respect.
     pub contract: WireContract,
-    /// `work` where priority weight counts for each unit of work.
-    #[serde(default)]
-    pub counted_by: String,
-    /// Tenants.
-    #[serde(default)]
-    pub customers: Vec<WireTenant>,
-    /// How the endpoint list arrives.
+    /// `work`: priority weight counts for each unit of work. Any other value: it counts for each request.
+    #[serde(default, rename = "countedBy")]
+    pub weight_counted_by: String,
+    /// Tenants; may be empty.
+    #[serde(default, rename = "customers")]
+    pub tenants: Vec<WireTenant>,
+    /// Whether discovery pushes changes of the endpoint list or has to be polled.
     pub discovery: WireDiscovery,
-    /// Whether endpoints cache by key.
-    #[serde(default)]
-    pub family_info: FamilyInfo,
-    /// What the service is judged by.
+    /// Caching by endpoints.
+    #[serde(default, rename = "familyInfo")]
+    pub endpoint_cache: WireEndpointCache,
+    /// Weights of the measures of service quality.
     #[serde(default)]
     pub goal: WireGoal,
-    /// Names of the kinds of endpoints.
+    /// Names of the endpoint kinds.
     #[serde(default)]
     pub kinds: Vec<String>,
-    /// What the site allows.
+    /// Limits on the balancer and the features that it may use.
     pub limits: WireLimits,
-    /// The part of its priority weight that a request beyond its tenant's quota keeps.
-    #[serde(default = "one")]
-    pub over_share_worth: f64,
-    /// Prices of costs.
+    /// Fraction of its priority weight that a request keeps when its tenant is over quota.
+    #[serde(default = "one", rename = "overShareWorth")]
+    pub over_quota_weight: f64,
+    /// Price of each unit of cost.
     #[serde(default)]
     pub prices: WirePrices,
     /// Load reports of endpoints.
-    #[serde(default)]
-    pub report: WireReport,
+    #[serde(default, rename = "report")]
+    pub load_reports: WireLoadReports,
     /// Resolution of the caller's events and timers, in milliseconds.
-    pub tick: f64,
-    /// Meaning of the endpoints' weights.
-    #[serde(default)]
-    pub weights: String,
-    /// Index of the own zone.
-    #[serde(default)]
-    pub zone: usize,
+    #[serde(rename = "tick")]
+    pub tick_ms: f64,
+    /// Meaning of the endpoints' weights: `nominal`, `rough` or `live`; any other value means equal weights.
+    #[serde(default, rename = "weights")]
+    pub weight_meaning: String,
+    /// Index of this balancer's zone in `zones`.
+    #[serde(default, rename = "zone")]
+    pub own_zone: usize,
     /// Names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
@@ -68,24 +74,28 @@
 pub struct WireClass {
     #[serde(default)]
     pub name: String,
-    pub aim: f64,
-    #[serde(default)]
-    pub aim_stretch: f64,
-    pub hard_limit: f64,
-    pub semantics: Semantics,
-    pub key_scope: Option<Scope>,
+    #[serde(rename = "aim")]
+    pub latency_objective: f64,
+    #[serde(default, rename = "aimStretch")]
+    pub objective_stretch: f64,
+    #[serde(rename = "hardLimit")]
+    pub deadline: f64,
+    #[serde(rename = "semantics")]
+    pub effect: WireEffect,
+    pub key_scope: Option<WireKeyScope>,
     #[serde(default)]
     pub key_ttl: f64,
-    #[serde(default)]
-    pub late_worth: f64,
-    pub points: f64,
+    #[serde(default, rename = "lateWorth")]
+    pub late_priority_weight: f64,
+    #[serde(rename = "points")]
+    pub priority_weight: f64,
     #[serde(default)]
     pub streamed: bool,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Semantics {
+pub enum WireEffect {
     Safe,
     Keyed,
     Unsafe,
@@ -93,7 +103,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Scope {
+pub enum WireKeyScope {
     All,
     Zone,
     Cell,
@@ -102,13 +112,19 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireContract {
-    pub ask_within: Option<f64>,
-    pub cold: f64,
-    pub cold_from: f64,
+    #[serde(rename = "askWithin")]
+    pub poll_within: Option<f64>,
+    #[serde(rename = "cold")]
+    pub warm_up: f64,
+    #[serde(rename = "coldFrom")]
+    pub initial_capacity: f64,
     pub drain_grace: f64,
-    pub fall: f64,
-    pub fall_multiple: f64,
-    pub grace_to_answer: f64,
+    #[serde(rename = "fall")]
+    pub overload_window: f64,
+    #[serde(rename = "fallMultiple")]
+    pub overload_multiple: f64,
+    #[serde(rename = "graceToAnswer")]
+    pub response_grace: f64,
 }
 
 #[derive(Debug, Deserialize)]
@@ -116,7 +132,8 @@
 pub struct WireTenant {
     #[serde(default)]
     pub name: String,
-    pub portion: f64,
+    #[serde(rename = "portion")]
+    pub share: f64,
     pub quota_per_s: f64,
 }
 
@@ -129,7 +146,7 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Callers {
+pub struct WireClients {
     #[serde(default)]
     pub marks_retry: bool,
 }
@@ -137,7 +154,8 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct WireGoal {
-    pub whole: f64,
+    #[serde(rename = "whole")]
+    pub overall: f64,
     pub worst_class: f64,
     pub worst_tenant: f64,
     pub worst_window: f64,
@@ -145,14 +163,15 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct WireReport {
+pub struct WireLoadReports {
     pub fields: Vec<String>,
-    pub how: String,
+    #[serde(rename = "how")]
+    pub sent_with: String,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct FamilyInfo {
+pub struct WireEndpointCache {
     #[serde(default)]
     pub warm_keys: bool,
 }
@@ -160,22 +179,23 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireLimits {
-    pub attempts_cap: u32,
+    #[serde(rename = "attemptsCap")]
+    pub max_attempts: u32,
     #[serde(default)]
     pub cancelling: bool,
-    #[serde(default = "unlimited")]
-    pub conn_idle: f64,
+    #[serde(default = "unlimited", rename = "connIdle")]
+    pub connection_idle_timeout: f64,
     #[serde(default)]
     pub cpu_us_per_request: f64,
     #[serde(default = "unlimited")]
     pub cpu_us_per_s: f64,
-    #[serde(default)]
-    pub dial_timeout: f64,
-    #[serde(default = "any_number")]
-    pub max_open: u32,
+    #[serde(default, rename = "dialTimeout")]
+    pub connect_timeout: f64,
+    #[serde(default = "unlimited_count", rename = "maxOpen")]
+    pub max_requests_in_flight: u32,
     #[serde(default)]
     pub max_retry_after: f64,
-    #[serde(default = "single")]
+    #[serde(default = "one_stream")]
     pub max_streams: u32,
     #[serde(default)]
     pub peer_messages: bool,
@@ -183,8 +203,8 @@
     pub probes: bool,
     #[serde(default)]
     pub retry_after: bool,
-    #[serde(default)]
-    pub second_copies: bool,
+    #[serde(default, rename = "secondCopies")]
+    pub hedging: bool,
 }
 
 #[derive(Debug, Default, Deserialize)]
@@ -194,7 +214,8 @@
     pub cross_zone: f64,
     pub discovery: f64,
     pub handshake: f64,
-    pub late_fail: f64,
+    #[serde(rename = "lateFail")]
+    pub late_failure: f64,
     pub peer: f64,
     pub probe: f64,
     pub waste: f64,
@@ -204,53 +225,55 @@
     1.0
 }
 
-fn single() -> u32 {
+fn one_stream() -> u32 {
     1
 }
 
-fn any_number() -> u32 {
+fn unlimited_count() -> u32 {
     u32::MAX
 }
 
-/// Stands for a limit in milliseconds or microseconds that the settings do not name.
+/// The value of a time limit (milliseconds or microseconds) that the settings omit.
 fn unlimited() -> f64 {
     f64::MAX
 }
 
-fn read_report(report: &WireReport) -> Reports {
-    let has = |name: &str| report.fields.iter().any(|field| field == name);
+fn convert_load_reports(reports: &WireLoadReports) -> Reports {
+    let includes = |name: &str| reports.fields.iter().any(|field| field == name);
     Reports {
-        given: match report.how.as_str() {
+        given: match reports.sent_with.as_str() {
             "answers" => Reporting::WithAnswers,
             "probe" => Reporting::WithProbes,
             _ => Reporting::Never,
         },
-        outstanding: has("outstanding"),
-        backlog: has("backlog"),
-        utilization: has("utilization"),
-        recent_ms: has("recent_ms"),
-        throughput: has("throughput"),
-        errors_per_s: has("errors_per_s"),
+        outstanding: includes("outstanding"),
+        backlog: includes("backlog"),
+        utilization: includes("utilization"),
+        recent_ms: includes("recent_ms"),
+        throughput: includes("throughput"),
+        errors_per_s: includes("errors_per_s"),
     }
 }
 
-/// The settings in the decisions' form; names and what the decisions do not use are dropped.
-pub fn read_settings(wire: WireSettings) -> Settings {
+/// Converts the settings to the balancer's form. Names of classes, tenants, kinds and zones are dropped: the
+/// balancer knows these by index only.
+pub fn convert_settings(wire: WireSettings) -> Settings {
     let classes = wire.classes.into_iter().map(|class| Class {
-        latency_objective: class.aim,
-        objective_stretch: class.aim_stretch,
-        deadline: class.hard_limit,
-        priority_weight: class.points,
-        late_priority_weight: class.late_worth,
-        effect: match class.semantics {
-            Semantics::Safe => Effect::Safe,
-            Semantics::Unsafe => Effect::Unsafe,
-            Semantics::Keyed => Effect::Keyed {
+        latency_objective: class.latency_objective,
+        objective_stretch: class.objective_stretch,
+        deadline: class.deadline,
+        priority_weight: class.priority_weight,
+        late_priority_weight: class.late_priority_weight,
+        effect: match class.effect {
+            WireEffect::Safe => Effect::Safe,
+            WireEffect::Unsafe => Effect::Unsafe,
+            WireEffect::Keyed => Effect::Keyed {
                 scope: match class.key_scope {
-                    Some(Scope::All) => KeyScope::All,
-                    Some(Scope::Zone) => KeyScope::Zone,
-                    // The narrowest scope is the one that can do no harm.
-                    Some(Scope::Cell) | None => KeyScope::Cell,
+                    Some(WireKeyScope::All) => KeyScope::All,
+                    Some(WireKeyScope::Zone) => KeyScope::Zone,
+                    // Without a scope, assume the narrowest: with too wide a scope, a retry could reach an
+                    // endpoint that has not seen the key, and the request could take effect twice.
+                    Some(WireKeyScope::Cell) | None => KeyScope::Cell,
                 },
                 ttl: class.key_ttl,
             },
@@ -258,30 +281,30 @@
         streamed: class.streamed,
     });
     let tenants = wire
-        .customers
+        .tenants
         .into_iter()
-        .map(|tenant| Tenant { portion: tenant.portion, quota_per_s: tenant.quota_per_s });
+        .map(|tenant| Tenant { portion: tenant.share, quota_per_s: tenant.quota_per_s });
     Settings {
-        me: wire.me,
-        balancers: wire.balancers,
-        zone: wire.zone,
+        me: wire.balancer_index,
+        balancers: wire.balancer_count,
+        zone: wire.own_zone,
         zones: wire.zones.len().max(1),
         locality: None,
         kinds: wire.kinds.len().max(1),
         classes: classes.collect(),
         tenants: tenants.collect(),
-        over_quota_weight: wire.over_share_worth,
-        weight_by_work: wire.counted_by == "work",
-        warm_keys: wire.family_info.warm_keys,
-        marks_retry: wire.callers.marks_retry,
+        over_quota_weight: wire.over_quota_weight,
+        weight_by_work: wire.weight_counted_by == "work",
+        warm_keys: wire.endpoint_cache.warm_keys,
+        marks_retry: wire.clients.marks_retry,
         goal: Goal {
-            whole: wire.goal.whole,
+            whole: wire.goal.overall,
             worst_window: wire.goal.worst_window,
             worst_class: wire.goal.worst_class,
             worst_tenant: wire.goal.worst_tenant,
         },
-        reports: read_report(&wire.report),
-        weights: match wire.weights.as_str() {
+        reports: convert_load_reports(&wire.load_reports),
+        weights: match wire.weight_meaning.as_str() {
             "nominal" => Weights::Nominal,
             "rough" => Weights::Rough,
             "live" => Weights::Live,
@@ -291,35 +314,35 @@
             WireDiscovery::Automatic => Discovery::Automatic,
             WireDiscovery::Subscribe => Discovery::Subscribe,
         },
-        tick: wire.tick,
+        tick: wire.tick_ms,
         limits: Limits {
-            attempts: wire.limits.attempts_cap,
+            attempts: wire.limits.max_attempts,
             cancelling: wire.limits.cancelling,
-            hedging: wire.limits.second_copies,
+            hedging: wire.limits.hedging,
             probes: wire.limits.probes,
             peer_messages: wire.limits.peer_messages,
             retry_after: wire.limits.retry_after,
             max_retry_after: wire.limits.max_retry_after,
-            dial_timeout: wire.limits.dial_timeout,
-            conn_idle: wire.limits.conn_idle,
+            dial_timeout: wire.limits.connect_timeout,
+            conn_idle: wire.limits.connection_idle_timeout,
             streams: wire.limits.max_streams,
-            open_requests: wire.limits.max_open,
+            open_requests: wire.limits.max_requests_in_flight,
             cpu_us_per_s: wire.limits.cpu_us_per_s,
             cpu_us_per_request: Some(wire.limits.cpu_us_per_request).filter(|us| *us != 0.0),
         },
         contract: Contract {
-            grace_to_answer: wire.contract.grace_to_answer,
+            grace_to_answer: wire.contract.response_grace,
             drain_grace: wire.contract.drain_grace,
-            initial_capacity: wire.contract.cold_from,
-            warm_up: wire.contract.cold,
-            overload_multiple: wire.contract.fall_multiple,
-            overload_window: wire.contract.fall,
-            poll_within: wire.contract.ask_within,
+            initial_capacity: wire.contract.initial_capacity,
+            warm_up: wire.contract.warm_up,
+            overload_multiple: wire.contract.overload_multiple,
+            overload_window: wire.contract.overload_window,
+            poll_within: wire.contract.poll_within,
         },
         prices: Prices {
             cross_zone: wire.prices.cross_zone,
             waste: wire.prices.waste,
-            late_fail: wire.prices.late_fail,
+            late_fail: wire.prices.late_failure,
             handshake: wire.prices.handshake,
             connection: wire.prices.connection,
             discovery: wire.prices.discovery,
--- a/simulator-adapter/src/settings/tests.rs
+++ b/simulator-adapter/src/settings/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Every setting of the wire's page, told apart by its figure; absent ones have harmless stand-ins.
+/// Every setting of the format has a value of its own, so that no two can be confused.
 #[test]
-fn settings_as_the_wire_has_them() {
-    let all = r#"{"me":1,"balancers":3,"callers":{"marksRetry":true},
+fn all_settings_are_converted() {
+    let json = r#"{"me":1,"balancers":3,"callers":{"marksRetry":true},
             "classes":[{"aim":500.0,"aimStretch":1.5,"hardLimit":2500.0,"keyScope":"zone","keyTtl":2400.0,
                         "lateWorth":0.25,"name":"a","points":10.0,"semantics":"keyed","streamed":true}],
             "contract":{"askWithin":10000.0,"cold":24000.0,"coldFrom":0.13,"drainGrace":501.0,"fall":1500.0,
@@ -20,7 +20,7 @@
                       "moves":0.0,"origin":0.0,"peer":6.0,"probe":7.0,"waste":8.0,"fleet":9.0},
             "report":{"fields":["outstanding","errors_per_s","unheardOf"],"how":"probe"},
             "tick":5.0,"tier":0,"weights":"rough","zone":1,"zones":["p","q"]}"#;
-    let read = read_settings(serde_json::from_str(all).expect("well formed"));
+    let settings = convert_settings(serde_json::from_str(json).expect("valid JSON"));
     let expected = Settings {
         me: 1,
         balancers: 3,
@@ -90,15 +90,17 @@
             peer: 6.0,
         },
     };
-    assert_eq!(read, expected);
-    for (weights, meaning) in
-        [("none", Weights::Equal), ("nominal", Weights::Nominal), ("live", Weights::Live)]
+    assert_eq!(settings, expected);
+    for (name, expected) in [("none", Weights::Equal), ("nominal", Weights::Nominal), ("live", Weights::Live)]
     {
-        let text = all.replace(r#""weights":"rough""#, &format!(r#""weights":"{weights}""#));
-        assert_eq!(read_settings(serde_json::from_str(&text).expect("well formed")).weights, meaning);
+        let json = json.replace(r#""weights":"rough""#, &format!(r#""weights":"{name}""#));
+        assert_eq!(convert_settings(serde_json::from_str(&json).expect("valid JSON")).weights, expected);
     }
-    for (how, given) in [("none", Reporting::Never), ("answers", Reporting::WithAnswers)] {
-        let text = all.replace(r#""how":"probe""#, &format!(r#""how":"{how}""#));
-        assert_eq!(read_settings(serde_json::from_str(&text).expect("well formed")).reports.given, given);
+    for (name, expected) in [("none", Reporting::Never), ("answers", Reporting::WithAnswers)] {
+        let json = json.replace(r#""how":"probe""#, &format!(r#""how":"{name}""#));
+        assert_eq!(
+            convert_settings(serde_json::from_str(&json).expect("valid JSON")).reports.given,
+            expected
+        );
     }
 }
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -16,7 +16,7 @@
 use rand_pcg::Pcg32;
 use rustix::time::{ClockId, clock_gettime};
 use serde_json::json;
-use simulator_adapter::{WireSettings, read_settings};
+use simulator_adapter::{WireSettings, convert_settings};
 
 use super::law::{ENDPOINTS, REGIONS};
 use super::{Options, Point, Run, ScaleError};
@@ -218,7 +218,8 @@
         "report": {"fields": ["utilization"], "how": "answers"}
     });
     let wire: Result<WireSettings, _> = serde_json::from_value(wire);
-    let mut settings = read_settings(wire.map_err(|error| ScaleError::SetUp(format!("settings: {error}")))?);
+    let mut settings =
+        convert_settings(wire.map_err(|error| ScaleError::SetUp(format!("settings: {error}")))?);
     settings.locality = Some(Locality { own: Some(zone), regions: REGIONS.to_vec() });
     Ok(settings)
 }
