--- a/client-proxy/src/discovery.rs
+++ b/client-proxy/src/discovery.rs
@@ -11,9 +11,9 @@
 
 use balancer::{Discovery as Mode, EndpointUpdate};
 use discovery_client::{
-    CallError, DiscoveryConnection, DiscoveryResponse, dial, exchange, list_request, origin_time,
+    DiscoveryConnection, DiscoveryResponse, PollError, dial, exchange, list_request, origin_time,
 };
-use discovery_proto::{ListReader, ListResponse, PollTiming, Received, Subscription};
+use discovery_proto::{ListReader, ListResponse, PollTiming, ReceivedAt, Subscription};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use serde_json::{Value, json};
@@ -77,7 +77,7 @@
             mode,
             follower: Subscription::new(
                 pace,
-                ListReader { zones, kinds, endpoints, ids: driver.ids(), listed },
+                ListReader { zones, kinds, endpoints, ids: driver.ids(), raw_entries: listed },
             ),
             driver,
             handover,
@@ -102,7 +102,7 @@
                 // Where lists are pushed the whole list is to be had for nothing, so no old version is built
                 // on.
                 let entries =
-                    self.follower.known(list, self.mode == Mode::Subscribe, self.driver.clock().now());
+                    self.follower.restore(list, self.mode == Mode::Subscribe, self.driver.clock().now());
                 self.log_problems();
                 if !entries.is_empty() {
                     let ready = self.ready.clone();
@@ -159,7 +159,7 @@
     /// Lists that are asked for: the decisions say when, and back off by themselves.
     async fn answer(&mut self, ask: DiscoveryCommand) {
         if ask == DiscoveryCommand::Fetch {
-            self.follower.forget_version();
+            self.follower.request_full_snapshot();
         }
         loop {
             if let Err(error) = self.next().await {
@@ -176,36 +176,36 @@
     }
 
     /// One call and what it tells.
-    async fn next(&mut self) -> Result<(), CallError> {
+    async fn next(&mut self) -> Result<(), PollError> {
         let asked = Instant::now();
-        let DiscoveryResponse { link, headers, body } = loop {
+        let DiscoveryResponse { connection: link, headers, body } = loop {
             if self.whom.moved() {
                 // A link to where discovery no longer is is of no more use.
                 self.link = None;
-                self.follower.moved();
+                self.follower.source_changed();
             }
             let (address, endpoint) = self.whom.next();
             let before = self.asked.replace(address);
             // Relays tell the same discovery's list; an address that is named once more is the same
             // discovery.
             if self.whom.is_shared() && before.is_some_and(|before| before != address) {
-                self.follower.replaced();
+                self.follower.reset_versions();
             }
-            let call = self.follower.call();
+            let call = self.follower.next_poll();
             let request = list_request(endpoint, &call.path());
             // Guards against a dead or silent link: whatever fails, the next call begins with a new one.
             let link = self.link.take();
             let dial = dial(address, DIAL_WITHIN);
             tokio::select! {
-                called = timeout(call.within, exchange(link, dial, request, LIST_MOST)) => break called??,
+                called = timeout(call.timeout, exchange(link, dial, request, LIST_MOST)) => break called??,
                 // Guards against waiting on where discovery no longer is: the same call is made at the new
                 // address.
                 () = self.whom.moves() => {}
             }
         };
-        let discovery_time = origin_time(&headers).map(|time| time.as_secs_f64() * 1e3);
-        let received = Received { at: self.driver.clock().now(), discovery_time };
-        let answer = self.follower.answered(&body, received);
+        let discovery_unix_ms = origin_time(&headers).map(|time| time.as_secs_f64() * 1e3);
+        let received = ReceivedAt { local: self.driver.clock().now(), discovery_unix_ms };
+        let answer = self.follower.on_response(&body, received);
         self.log_problems();
         let answer = answer?;
         self.whom.answered();
@@ -215,8 +215,8 @@
             eprintln!("client-proxy: discovery answers again");
         }
         let (index, news, in_vain) = match answer {
-            ListResponse::Applied { index, news, in_vain } => (index, news, in_vain),
-            ListResponse::Doubtful { index } => {
+            ListResponse::Applied { index, update: news, empty_watch: in_vain } => (index, news, in_vain),
+            ListResponse::Rejected { index } => {
                 eprintln!(
                     "client-proxy: discovery: version {index} does not follow what is held: asking for all of it"
                 );
@@ -237,7 +237,7 @@
     }
 
     /// After how long the same is to be asked again, of another relay or of the same one, if that is left.
-    fn go_elsewhere(&mut self, error: &CallError) -> Option<Duration> {
+    fn go_elsewhere(&mut self, error: &PollError) -> Option<Duration> {
         // Guards against relays that are left alone for up to a minute because this process lacks a
         // descriptor.
         if error.is_local() && !self.whom.is_shared() {
@@ -247,25 +247,27 @@
     }
 
     fn log_problems(&self) {
-        for problem in self.follower.problems() {
+        for problem in self.follower.entry_errors() {
             eprintln!("client-proxy: discovery: an entry is left out: {problem}");
         }
     }
 
     /// Leaves the list for the next process.
     fn hand_on(&self, index: u64) {
-        let (Some(handover), Some(listed)) = (&self.handover, &self.follower.reader().listed) else { return };
+        let (Some(handover), Some(listed)) = (&self.handover, &self.follower.reader().raw_entries) else {
+            return;
+        };
         let endpoints: Vec<Value> = listed.borrow().values().cloned().collect();
         handover.hand_on(json!({"index": index, "snapshot": true, "endpoints": endpoints}));
     }
 
     /// Says so once, however long it lasts; the pause before the next call, where nobody else says when.
-    fn failed(&mut self, error: &CallError) -> Duration {
+    fn failed(&mut self, error: &PollError) -> Duration {
         if !self.failing {
             self.failing = true;
             eprintln!("client-proxy: discovery: {error}");
         }
-        self.follower.failed(error.is_spoilt())
+        self.follower.on_failure(error.is_invalid_response())
     }
 }
 
--- a/client-proxy/src/discovery/source_selector.rs
+++ b/client-proxy/src/discovery/source_selector.rs
@@ -36,7 +36,7 @@
     /// Whether the next call goes elsewhere than the last one; asked before each.
     pub fn moved(&mut self) -> bool {
         match &mut self.relays {
-            Some((sources, _)) => sources.returns(self.began.elapsed(), &mut self.rng),
+            Some((sources, _)) => sources.fail_back(self.began.elapsed(), &mut self.rng),
             None => self.address.has_changed().unwrap_or(false),
         }
     }
@@ -64,16 +64,16 @@
     /// The last call was answered.
     pub fn answered(&mut self) {
         if let Some((sources, _)) = &mut self.relays {
-            sources.answered();
+            sources.on_response();
         }
     }
 
     /// The last call failed: after how long the same is to be asked of another relay, if one is left.
     pub fn failed(&mut self) -> Option<Duration> {
         let (sources, _) = self.relays.as_mut()?;
-        match sources.failed(self.began.elapsed(), &mut self.rng) {
-            Fallback::Elsewhere(pause) => Some(pause),
-            Fallback::NoneLeft => None,
+        match sources.on_failure(self.began.elapsed(), &mut self.rng) {
+            Fallback::NextSource(pause) => Some(pause),
+            Fallback::AllFailed => None,
         }
     }
 
--- a/client-proxy/src/discovery/tests.rs
+++ b/client-proxy/src/discovery/tests.rs
@@ -173,7 +173,7 @@
     }
 
     fn has(&self, endpoint: &str) -> bool {
-        self.endpoints.known() == [self.driver.ids().of(endpoint)]
+        self.endpoints.endpoint_ids() == [self.driver.ids().get_or_assign(endpoint)]
     }
 
     /// How long it takes until the list is this endpoint alone.
--- a/client-proxy/src/driver.rs
+++ b/client-proxy/src/driver.rs
@@ -181,7 +181,7 @@
         name: &str,
         change: impl FnOnce(&mut State) + Send + 'static,
     ) -> Result<(), String> {
-        self.ids.known(name).ok_or_else(|| format!("no order server has the ID {name}"))?;
+        self.ids.get(name).ok_or_else(|| format!("no order server has the ID {name}"))?;
         let written = self.handover.change(change).await;
         written.map_err(|error| format!("it cannot be written down: {error}"))?;
         self.apply_operator_overrides();
@@ -193,11 +193,11 @@
         let now = self.handover.state();
         let told = self.told.replace(now.clone());
         for name in now.out.difference(&told.out) {
-            self.handle_event(Event::Disabled { endpoint: self.ids.of(name) });
+            self.handle_event(Event::Disabled { endpoint: self.ids.get_or_assign(name) });
         }
         let (now, told) = (&now.back_monotonic, &told.back_monotonic);
         for (name, at) in now.iter().filter(|(name, at)| told.get(name) != Some(*at)) {
-            self.handle_event(Event::Enabled { endpoint: self.ids.of(name), at });
+            self.handle_event(Event::Enabled { endpoint: self.ids.get_or_assign(name), at });
         }
     }
 
--- a/client-proxy/src/driver/actions.rs
+++ b/client-proxy/src/driver/actions.rs
@@ -35,7 +35,7 @@
                 });
             }
             Action::CloseIdle { endpoint } => self.endpoints.close_idle(endpoint),
-            Action::Forget { endpoint } => self.ids.forget(endpoint),
+            Action::Forget { endpoint } => self.ids.release(endpoint),
             // The receiver lives as long as the program; where it has gone, so has the program.
             Action::Watch => drop(self.asks.send(DiscoveryCommand::Watch)),
             Action::Fetch => drop(self.asks.send(DiscoveryCommand::Fetch)),
--- a/client-proxy/src/driver/metrics.rs
+++ b/client-proxy/src/driver/metrics.rs
@@ -29,7 +29,7 @@
                 .map(|(class, ended)| (class.clone(), count(ended)))
                 .collect()
         };
-        let listed = self.endpoints.known();
+        let listed = self.endpoints.endpoint_ids();
         let state = self.state.borrow();
         let avoided = state.balancer.avoided(self.clock.now());
         let mut figures = json!({
--- a/client-proxy/src/endpoint_pool.rs
+++ b/client-proxy/src/endpoint_pool.rs
@@ -129,7 +129,7 @@
 impl EndpointLocations for EndpointPool {
     /// Connections to an earlier process or address, or to an endpoint that wants nothing new, are of no more
     /// use.
-    fn place(&self, endpoint: EndpointId, place: EndpointLocation) {
+    fn set_location(&self, endpoint: EndpointId, place: EndpointLocation) {
         let mut table = self.table.borrow_mut();
         let upstream = table.entry(endpoint).or_insert_with(|| KnownEndpoint { place, idle: Vec::new() });
         if upstream.place != place {
@@ -141,7 +141,7 @@
         self.table.borrow_mut().remove(&endpoint);
     }
 
-    fn known(&self) -> Vec<EndpointId> {
+    fn endpoint_ids(&self) -> Vec<EndpointId> {
         self.table.borrow().keys().copied().collect()
     }
 }
--- a/client-proxy/src/endpoint_pool/connection.rs
+++ b/client-proxy/src/endpoint_pool/connection.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use balancer::{EndpointId, Outcome};
-use discovery_client::is_local;
+use discovery_client::is_local_error;
 use discovery_proto::EndpointLocation;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper_util::rt::TokioIo;
@@ -119,7 +119,7 @@
 /// and the decisions hold the request.
 pub(super) fn dial_outcome(error: &io::Error) -> Outcome {
     match error.kind() {
-        _ if is_local(error) => Outcome::NeverSent,
+        _ if is_local_error(error) => Outcome::NeverSent,
         ErrorKind::NetworkUnreachable | ErrorKind::NetworkDown | ErrorKind::PermissionDenied => {
             Outcome::NeverSent
         }
--- a/client-proxy/src/endpoint_pool/tests.rs
+++ b/client-proxy/src/endpoint_pool/tests.rs
@@ -77,7 +77,7 @@
         let endpoints =
             EndpointPool::new(Sockets::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
         let endpoint = EndpointId(0);
-        endpoints.place(endpoint, EndpointLocation { address, since_ms: 0, serving: true });
+        endpoints.set_location(endpoint, EndpointLocation { address, since_ms: 0, serving: true });
         let order = Rc::new(UpstreamRequest::empty(Duration::from_secs(20)));
         let end = endpoints.attempt(endpoint, &order, None).await;
         assert_eq!(body(&end), b"first");
@@ -135,7 +135,7 @@
             let endpoints =
                 EndpointPool::new(Sockets::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
             let endpoint = EndpointId(0);
-            endpoints.place(endpoint, EndpointLocation { address, since_ms: 0, serving: true });
+            endpoints.set_location(endpoint, EndpointLocation { address, since_ms: 0, serving: true });
             let long = Duration::from_secs(20);
             assert_eq!(
                 body(&endpoints.attempt(endpoint, &Rc::new(UpstreamRequest::empty(long)), None).await),
@@ -186,7 +186,7 @@
         for (sockets, address) in [(free, "[fe80::1]:9"), (full, "127.0.0.1:9")] {
             let endpoints = EndpointPool::new(sockets, Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
             let address = address.parse().expect("an address");
-            endpoints.place(EndpointId(0), EndpointLocation { address, since_ms: 0, serving: true });
+            endpoints.set_location(EndpointId(0), EndpointLocation { address, since_ms: 0, serving: true });
             let order = Rc::new(UpstreamRequest::empty(Duration::from_secs(20)));
             let begun = Instant::now();
             let end = endpoints.attempt(EndpointId(0), &order, None).await;
--- a/discovery-client/src/lib.rs
+++ b/discovery-client/src/lib.rs
@@ -1,5 +1,5 @@
-//! A call to discovery, or to a relay, over a socket. Which call it is, and until when it has to be answered,
-//! is `discovery_proto`'s.
+//! Polls discovery, or a relay, over a socket. Which poll comes next, and its timeout, is decided by
+//! `discovery_proto`.
 #![forbid(unsafe_code)]
 
 use std::io::{self, ErrorKind};
@@ -19,44 +19,44 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Why a call has no answer that can be used.
+/// Why a poll has no usable response.
 #[derive(Debug, Error)]
-pub enum CallError {
-    /// It could not be reached, as the system says.
+pub enum PollError {
+    /// Connecting failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The connection ended, or what came over it is no HTTP.
+    /// The connection was closed, or the peer does not speak HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// It refused.
-    #[error("status {0}")]
+    /// A status other than 200.
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// The answer broke off, or is too long.
-    #[error("no whole answer: {0}")]
+    /// The body was truncated, or exceeds the length limit.
+    #[error("incomplete response body: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The answer is none.
+    /// The body is not a usable endpoint list.
     #[error("{0}")]
     List(#[from] EndpointListError),
-    /// Nothing came in time.
-    #[error("no answer in time")]
-    Silent(#[from] tokio::time::error::Elapsed),
+    /// The timeout of the poll expired.
+    #[error("timed out")]
+    TimedOut(#[from] tokio::time::error::Elapsed),
 }
 
-impl CallError {
-    /// An answer came, and it is no list.
-    pub fn is_spoilt(&self) -> bool {
-        matches!(self, CallError::Body(_) | CallError::List(_))
+impl PollError {
+    /// Whether there was a response that is not a valid list.
+    pub fn is_invalid_response(&self) -> bool {
+        matches!(self, PollError::Body(_) | PollError::List(_))
     }
 
-    /// The call was never made, for a reason that lies here and says nothing of whom it was for.
+    /// Whether connecting failed for a local reason, which says nothing about the source.
     pub fn is_local(&self) -> bool {
-        matches!(self, CallError::Io(error) if is_local(error))
+        matches!(self, PollError::Io(error) if is_local_error(error))
     }
 }
 
-/// Whether a dial failed for want of something here (a port, a descriptor, memory), or was interrupted. All
-/// other errors speak of the other side or of the way to it.
-pub fn is_local(error: &io::Error) -> bool {
+/// Whether connecting failed because of this machine or process (no free port, descriptor or memory) or was
+/// interrupted. All other errors are due to the peer or the network.
+pub fn is_local_error(error: &io::Error) -> bool {
     !matches!(
         error.kind(),
         ErrorKind::ConnectionRefused
@@ -70,92 +70,95 @@
     )
 }
 
-/// A connection that calls go over, one after another.
+/// A connection on which polls are sent one after another.
 pub type DiscoveryConnection = SendRequest<Empty<Bytes>>;
 
-/// An answer that came whole.
+/// A complete response with status 200.
 pub struct DiscoveryResponse {
-    /// For the next call.
-    pub link: DiscoveryConnection,
-    /// What came before the body.
+    /// The connection, for the next poll.
+    pub connection: DiscoveryConnection,
+    /// The response headers.
     pub headers: HeaderMap,
-    /// A list, if it can be read as one.
+    /// The body; it may still turn out not to be a list.
     pub body: Bytes,
 }
 
-/// Discovery's own time since 1970 when its answer was received, at the earliest: a date has whole seconds,
-/// and what has stood with a relay since says how long. Nothing where the answer has no date.
+/// The time since 1970 by discovery's own clock at which the response was received, or earlier: `Date` has
+/// whole seconds, and relays report in `Age` for how long they have had the response. `None` without a valid
+/// `Date`.
 pub fn origin_time(headers: &HeaderMap) -> Option<Duration> {
     let date = headers.get(DATE).and_then(|date| date.to_str().ok())?;
     let date = httpdate::parse_http_date(date).ok()?.duration_since(UNIX_EPOCH).ok()?;
     date.checked_add(age(headers))
 }
 
-/// How long an answer has stood with relays, in whole seconds: discovery itself says nothing of it.
+/// For how long relays have had the response, in whole seconds. Zero without a valid `Age`, which discovery
+/// itself does not send.
 pub fn age(headers: &HeaderMap) -> Duration {
     let seconds = headers.get(AGE).and_then(|age| age.to_str().ok()).and_then(|age| age.parse().ok());
     Duration::from_secs(seconds.unwrap_or(0))
 }
 
-/// What a call asks for: `host` is whose list is meant.
+/// Builds the request of a poll. `host` selects the list: the authority of a relay's scope, or the address of
+/// discovery.
 ///
 /// # Panics
-/// If `path` is no path; those of `discovery_proto` are.
+/// If `path` is not a valid path; those of `discovery_proto` are.
 pub fn list_request(host: HeaderValue, path: &str) -> Request<Empty<Bytes>> {
     let mut request = Request::new(Empty::new());
-    *request.uri_mut() = path.parse().expect("digits in a fixed path are a path");
+    *request.uri_mut() = path.parse().expect("a fixed path with a numeric query is a valid URI");
     request.headers_mut().insert(HOST, host);
     request
 }
 
-/// Makes one call over `kept`, where that is still sound, or else over what `dial` gives. A body of more than
-/// `most` bytes is none.
+/// Sends one poll over `reusable`, if that connection is still open, else over a new connection from `dial`,
+/// and reads the response with at most `max_body_len` bytes.
 ///
 /// # Errors
-/// Where it is not answered with 200 and a whole body. The link is of no more use then.
+/// If the response is not a complete body with status 200. The connection is not reusable then.
 pub async fn exchange(
-    kept: Option<DiscoveryConnection>,
-    dial: impl Future<Output = Result<DiscoveryConnection, CallError>>,
+    reusable: Option<DiscoveryConnection>,
+    dial: impl Future<Output = Result<DiscoveryConnection, PollError>>,
     request: Request<Empty<Bytes>>,
-    most: usize,
-) -> Result<DiscoveryResponse, CallError> {
-    let kept = match kept {
-        Some(mut link) => link.ready().await.is_ok().then_some(link),
+    max_body_len: usize,
+) -> Result<DiscoveryResponse, PollError> {
+    let reusable = match reusable {
+        Some(mut connection) => connection.ready().await.is_ok().then_some(connection),
         None => None,
     };
-    let mut link = match kept {
-        Some(link) => link,
+    let mut connection = match reusable {
+        Some(connection) => connection,
         None => dial.await?,
     };
-    let (head, body) = link.send_request(request).await?.into_parts();
+    let (head, body) = connection.send_request(request).await?.into_parts();
     if head.status != StatusCode::OK {
-        return Err(CallError::Status(head.status));
+        return Err(PollError::Status(head.status));
     }
-    let body = Limited::new(body, most).collect().await.map_err(CallError::Body)?.to_bytes();
-    Ok(DiscoveryResponse { link, headers: head.headers, body })
+    let body = Limited::new(body, max_body_len).collect().await.map_err(PollError::Body)?.to_bytes();
+    Ok(DiscoveryResponse { connection, headers: head.headers, body })
 }
 
-/// A connection, made within this time. To be awaited where tasks may be local.
+/// Connects within `connect_timeout`. Must be called within a `LocalSet`.
 ///
 /// # Errors
-/// As the system says, or that it took too long.
-pub async fn dial(address: SocketAddr, within: Duration) -> Result<DiscoveryConnection, CallError> {
-    let stream = timeout(within, TcpStream::connect(address)).await??;
+/// If connecting fails or times out.
+pub async fn dial(address: SocketAddr, connect_timeout: Duration) -> Result<DiscoveryConnection, PollError> {
+    let stream = timeout(connect_timeout, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     handshake(stream).await
 }
 
-/// A link over a stream that is open.
+/// Starts HTTP/1.1 on a connected stream. Must be called within a `LocalSet`.
 ///
 /// # Errors
-/// Where the stream has ended.
+/// If the stream has been closed.
 pub async fn handshake(
     stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
-) -> Result<DiscoveryConnection, CallError> {
-    let (link, connection) = Builder::new().handshake(TokioIo::new(stream)).await?;
-    // How it ends is seen by the call on it.
+) -> Result<DiscoveryConnection, PollError> {
+    let (sender, connection) = Builder::new().handshake(TokioIo::new(stream)).await?;
+    // A connection error is reported to the poll that uses the connection.
     spawn_local(async move { drop(connection.await) });
-    Ok(link)
+    Ok(sender)
 }
 
 #[cfg(test)]
--- a/discovery-client/src/tests.rs
+++ b/discovery-client/src/tests.rs
@@ -2,12 +2,14 @@
 
 fn headers(date: &str, age: &str) -> HeaderMap {
     let fields = [(DATE, date), (AGE, age)].into_iter().filter(|(_, value)| !value.is_empty());
-    fields.map(|(name, value)| (name, value.parse().expect("a header value"))).collect()
+    fields.map(|(name, value)| (name, value.parse().expect("a valid header value"))).collect()
 }
 
-/// Guards against a stale date that makes what is new look old, and against one that is none.
+/// A relay passes on `Date` as discovery sent it, so by itself it is too early by the time for which relays
+/// have had the response, and ages measured against it are wrong. An invalid `Date` must not be taken for a
+/// time.
 #[test]
-fn discoverys_time_is_its_date_and_the_age_since() {
+fn origin_time_is_date_plus_age() {
     let time = |date, age| origin_time(&headers(date, age)).map(|time| time.as_secs());
     let date = "Tue, 14 Nov 2023 22:13:20 GMT";
     assert_eq!(time(date, ""), Some(1_700_000_000));
--- a/discovery-proto/src/ids.rs
+++ b/discovery-proto/src/ids.rs
@@ -1,13 +1,13 @@
-//! The numbers that stand for endpoints' names, and what is kept by them until they are given up.
+//! The numeric IDs of endpoint names, and the state that is kept per ID until the ID is released.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 
 use balancer::{EndpointEntry, EndpointId};
 
-use crate::starts::{Received, StartTimes};
+use crate::starts::{ReceivedAt, StartTimes};
 
-/// The endpoints' numbers by their names, for as long as the program runs.
+/// Maps endpoint names to numeric IDs and back, for the lifetime of the process.
 #[derive(Default)]
 pub struct EndpointIds {
     by_name: RefCell<HashMap<String, EndpointId>>,
@@ -16,18 +16,19 @@
 }
 
 impl EndpointIds {
-    /// The number of a name that has come up before.
-    pub fn known(&self, name: &str) -> Option<EndpointId> {
+    /// The ID of a name, if one is assigned.
+    pub fn get(&self, name: &str) -> Option<EndpointId> {
         self.by_name.borrow().get(name).copied()
     }
 
-    /// The same number for a name at every client proxy and after every start, but for collisions.
-    pub fn of(&self, name: &str) -> EndpointId {
-        if let Some(id) = self.known(name) {
+    /// The ID of a name, assigned on first use. It is the FNV-1a hash of the name, so every client proxy gets
+    /// the same ID after every restart, except where two names collide.
+    pub fn get_or_assign(&self, name: &str) -> EndpointId {
+        if let Some(id) = self.get(name) {
             return id;
         }
-        let fnv = |h: u32, byte: u8| (h ^ u32::from(byte)).wrapping_mul(0x0100_0193);
-        let mut id = EndpointId(name.bytes().fold(0x811c_9dc5, fnv));
+        let fnv1a = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193);
+        let mut id = EndpointId(name.bytes().fold(0x811c_9dc5, fnv1a));
         while self.names.borrow().contains_key(&id) {
             id = EndpointId(id.0.wrapping_add(1));
         }
@@ -36,22 +37,22 @@
         id
     }
 
-    /// Gives a number up that nothing refers to any more.
-    pub fn forget(&self, endpoint: EndpointId) {
+    /// Releases an ID that nothing refers to any more, with the start time kept for it.
+    pub fn release(&self, endpoint: EndpointId) {
         if let Some(name) = self.names.borrow_mut().remove(&endpoint) {
             self.by_name.borrow_mut().remove(&name);
         }
         self.starts.borrow_mut().forget(endpoint);
     }
 
-    /// Translates the start times of what an answer says to the caller's clock.
-    pub(crate) fn translate_answer(&self, entries: &mut [EndpointEntry], received: Received) {
-        self.starts.borrow_mut().translate_answer(entries, received);
+    /// Translates the start times in a response to the caller's monotonic clock.
+    pub(crate) fn translate_response(&self, entries: &mut [EndpointEntry], received: ReceivedAt) {
+        self.starts.borrow_mut().translate_response(entries, received);
     }
 
-    /// The same for a list from before this process.
-    pub(crate) fn translate_known(&self, entries: &mut [EndpointEntry], received: Received) {
-        self.starts.borrow_mut().translate_known(entries, received);
+    /// Translates the start times in a list cached by an earlier process.
+    pub(crate) fn translate_cached(&self, entries: &mut [EndpointEntry], received: ReceivedAt) {
+        self.starts.borrow_mut().translate_cached(entries, received);
     }
 }
 
--- a/discovery-proto/src/ids/tests.rs
+++ b/discovery-proto/src/ids/tests.rs
@@ -2,25 +2,26 @@
 
 use super::*;
 
-/// Guards against memory that grows with every name, and against a name that comes back as another one.
+/// The maps of names and IDs must not keep entries for names that are no longer listed. An endpoint that is
+/// listed again gets its previous ID.
 #[test]
-fn a_number_goes_with_its_name_and_comes_back_with_it() {
+fn released_name_is_forgotten_and_gets_same_id_again() {
     let ids = EndpointIds::default();
-    let (first, other) = (ids.of("s-1"), ids.of("s-2"));
-    ids.forget(first);
-    assert_eq!((ids.known("s-1"), ids.known("s-2")), (None, Some(other)));
+    let (first, other) = (ids.get_or_assign("s-1"), ids.get_or_assign("s-2"));
+    ids.release(first);
+    assert_eq!((ids.get("s-1"), ids.get("s-2")), (None, Some(other)));
     assert_eq!(ids.names.borrow().len(), 1);
-    assert_eq!(ids.of("s-1"), first);
+    assert_eq!(ids.get_or_assign("s-1"), first);
 }
 
-/// Guards against memory that grows with every name: the start of a process goes with the endpoint's number.
+/// Start times must not be kept for endpoints that are no longer listed: they are dropped with the ID.
 #[test]
-fn a_start_time_is_forgotten_with_its_number() {
+fn released_id_loses_its_start_time() {
     let (ids, now) = (EndpointIds::default(), 50_000.0);
-    let listed = |at| {
+    let translated_start = |local| {
         let (started, phase) = (Some(1.7e12), EndpointState::Up);
         let mut entry = [EndpointEntry {
-            endpoint: ids.of("s-1"),
+            endpoint: ids.get_or_assign("s-1"),
             zone: 0,
             kind: 0,
             cell: 0,
@@ -28,10 +29,10 @@
             started,
             phase,
         }];
-        ids.translate_answer(&mut entry, Received { at, discovery_time: None });
+        ids.translate_response(&mut entry, ReceivedAt { local, discovery_unix_ms: None });
         entry[0].started
     };
-    assert_eq!((listed(now), listed(now + 5.0)), (Some(now), Some(now)));
-    ids.forget(ids.of("s-1"));
-    assert_eq!(listed(now + 9.0), Some(now + 9.0));
+    assert_eq!((translated_start(now), translated_start(now + 5.0)), (Some(now), Some(now)));
+    ids.release(ids.get_or_assign("s-1"));
+    assert_eq!(translated_start(now + 9.0), Some(now + 9.0));
 }
--- a/discovery-proto/src/lib.rs
+++ b/discovery-proto/src/lib.rs
@@ -1,6 +1,6 @@
-//! The client side of discovery, without I/O and without a clock: which call comes next and until when it has
-//! to be answered ([`Session`]), what an answer says ([`ListReader`]), and both together ([`Subscription`]).
-//! Whoever has the sockets makes the calls and hands the answers in.
+//! The client side of the discovery protocol, without I/O and without a clock: [`Session`] decides which poll
+//! comes next and its timeout, [`ListReader`] parses what a response contains, and [`Subscription`] combines
+//! the two. The caller owns the sockets: it sends the polls and passes the responses in.
 #![forbid(unsafe_code)]
 
 mod ids;
@@ -11,8 +11,8 @@
 mod subscription;
 
 pub use ids::EndpointIds;
-pub use list::{EndpointList, EndpointLocation, EndpointLocations, Entries, ListReader};
-pub use session::{Call, PollTiming, ResponseSummary, Session, Verdict};
+pub use list::{EndpointList, EndpointLocation, EndpointLocations, ListReader, ParsedEntries};
+pub use session::{PollRequest, PollTiming, ResponseSummary, Session, Verdict};
 pub use sources::{FAILOVER_SPREAD, Fallback, Sources};
-pub use starts::Received;
+pub use starts::ReceivedAt;
 pub use subscription::{EndpointListError, ListResponse, Subscription};
--- a/discovery-proto/src/list.rs
+++ b/discovery-proto/src/list.rs
@@ -1,4 +1,5 @@
-//! Lists as discovery writes them, read into the decisions' form and into places for the connections.
+//! Parses endpoint lists in discovery's JSON form into the balancer's entries and into locations for the
+//! connections.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashSet};
@@ -11,43 +12,44 @@
 
 use crate::ids::EndpointIds;
 
-/// An endpoint as discovery has it.
+/// Where an endpoint is reached, and what decides whether connections to it can be kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointLocation {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// When its process last started, in Unix milliseconds; 0 is long ago.
+    /// When its process last started, in Unix milliseconds; 0 if discovery does not say, which means long
+    /// ago.
     pub since_ms: u64,
-    /// Whether it wants new work.
+    /// Whether it accepts new work; false while it drains.
     pub serving: bool,
 }
 
-/// Whoever has connections to endpoints, and follows where they are.
+/// A store of connections to endpoints, such as a connection pool, that has to follow their locations.
 pub trait EndpointLocations {
-    /// Those that are known at present.
-    fn known(&self) -> Vec<EndpointId>;
-    /// Takes in what discovery says of an endpoint.
-    fn place(&self, endpoint: EndpointId, place: EndpointLocation);
-    /// Takes out an endpoint that is gone.
+    /// All endpoints that currently have a location.
+    fn endpoint_ids(&self) -> Vec<EndpointId>;
+    /// Adds an endpoint, or updates its location.
+    fn set_location(&self, endpoint: EndpointId, location: EndpointLocation);
+    /// Removes an endpoint that discovery no longer lists, or that has no usable address.
     fn remove(&self, endpoint: EndpointId);
 }
 
-/// An answer of discovery.
+/// The body of a response of discovery.
 #[derive(Deserialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version that the list has after this response.
     pub index: u64,
-    /// All of it, not only what has changed.
+    /// Whether this is a full snapshot; else it contains only changes.
     #[serde(default)]
     pub snapshot: bool,
-    /// Absent from no list; without them it is cut short, not empty.
+    /// The entries. Required: a body without this field is truncated or malformed, not an empty list.
     pub endpoints: Vec<Value>,
 }
 
 #[derive(Deserialize)]
 struct WireEndpoint {
     name: String,
-    /// Needed only where an endpoint is to be sent to.
+    /// Required only if the endpoint is serving: nothing else is sent requests.
     address: Option<String>,
     #[serde(default)]
     zone: String,
@@ -56,7 +58,7 @@
     #[serde(default)]
     group: u32,
     status: Status,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
     #[serde(default)]
     since_ms: u64,
@@ -70,63 +72,63 @@
     Deleted,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// What was read of a list.
-pub struct Entries {
-    /// In the decisions' form, with where the endpoint is reached. Start times are still discovery's, in Unix
-    /// milliseconds.
-    pub read: Vec<(EndpointEntry, Option<EndpointLocation>)>,
-    /// Why an entry could not be read; one for each.
-    pub problems: Vec<String>,
-    as_written: BTreeMap<String, Value>,
+/// The parsed entries of a response.
+pub struct ParsedEntries {
+    /// Valid entries in the balancer's form, each with the endpoint's location. Start times are still in
+    /// discovery's Unix milliseconds.
+    pub entries: Vec<(EndpointEntry, Option<EndpointLocation>)>,
+    /// One error for each entry that could not be parsed.
+    pub errors: Vec<String>,
+    raw: BTreeMap<String, Value>,
 }
 
-/// Reads lists, and has the connections follow them.
+/// Parses endpoint lists and applies them to the store of connections.
 pub struct ListReader<P> {
-    /// Names of zones, in the order of the settings' numbers.
+    /// Zone names; a name's position is the balancer's index of the zone.
     pub zones: Vec<String>,
-    /// Names of the kinds of endpoints, likewise.
+    /// Names of the endpoint kinds, likewise.
     pub kinds: Vec<String>,
-    /// Whose places the list tells.
+    /// The store whose locations follow the list.
     pub endpoints: Rc<P>,
-    /// The numbers of the endpoints.
+    /// The endpoint IDs.
     pub ids: Rc<EndpointIds>,
-    /// The list as it is handed on, each entry as discovery wrote it; nothing where it is handed on to
-    /// nobody.
-    pub listed: Option<RefCell<BTreeMap<String, Value>>>,
+    /// The current list by endpoint name, each entry as discovery sent it, for the next process. `None` if
+    /// the list is not handed over.
+    pub raw_entries: Option<RefCell<BTreeMap<String, Value>>>,
 }
 
 impl<P: EndpointLocations> ListReader<P> {
-    /// Entries in the decisions' form; bad ones are left out, with the reason. Nothing follows from them
-    /// before [`ListReader::follow`].
-    pub fn read(&self, endpoints: Vec<Value>) -> Entries {
-        let mut entries = Entries {
-            read: Vec::with_capacity(endpoints.len()),
-            problems: Vec::new(),
-            as_written: BTreeMap::new(),
+    /// Parses entries. Invalid ones are skipped and reported in [`ParsedEntries::errors`]. Nothing takes
+    /// effect before [`ListReader::apply`].
+    pub fn parse(&self, endpoints: Vec<Value>) -> ParsedEntries {
+        let mut parsed = ParsedEntries {
+            entries: Vec::with_capacity(endpoints.len()),
+            errors: Vec::new(),
+            raw: BTreeMap::new(),
         };
         for value in endpoints {
-            let written = self.listed.as_ref().map(|_| value.clone());
-            match self.read_one(value) {
-                Ok((name, entry, place)) => {
-                    if let Some(written) = written {
-                        entries.as_written.insert(name, written);
+            let raw = self.raw_entries.as_ref().map(|_| value.clone());
+            match self.parse_entry(value) {
+                Ok((name, entry, location)) => {
+                    if let Some(raw) = raw {
+                        parsed.raw.insert(name, raw);
                     }
-                    entries.read.push((entry, place));
+                    parsed.entries.push((entry, location));
                 }
-                Err(problem) => entries.problems.push(problem),
+                Err(error) => parsed.errors.push(error),
             }
         }
-        entries
+        parsed
     }
 
-    fn read_one(&self, value: Value) -> Result<(String, EndpointEntry, Option<EndpointLocation>), String> {
+    fn parse_entry(&self, value: Value) -> Result<(String, EndpointEntry, Option<EndpointLocation>), String> {
         let endpoint: WireEndpoint = serde_json::from_value(value).map_err(|error| error.to_string())?;
         if !endpoint.weight.is_finite() || endpoint.weight < 0.0 {
-            return Err(format!("{}: weight {}", endpoint.name, endpoint.weight));
+            return Err(format!("{}: invalid weight {}", endpoint.name, endpoint.weight));
         }
         let (phase, serving) = match endpoint.status {
             Status::Serving => (EndpointState::Up, true),
@@ -134,48 +136,49 @@
             Status::Deleted => (EndpointState::Removed, false),
         };
         let address = endpoint.address.as_deref().map(str::parse::<SocketAddr>);
-        let place = match address {
+        let location = match address {
             Some(Ok(address)) => Some(EndpointLocation { address, since_ms: endpoint.since_ms, serving }),
-            // Guards against a drain that goes unheard: what is not sent to needs no address.
+            // A drain or removal takes effect even without a valid address: no request is sent there anyway.
             _ if !serving => None,
-            None => return Err(format!("{}: no address", endpoint.name)),
-            Some(Err(_)) => return Err(format!("{}: its address is none", endpoint.name)),
+            None => return Err(format!("{}: missing address", endpoint.name)),
+            Some(Err(_)) => return Err(format!("{}: invalid address", endpoint.name)),
         };
-        let index = |names: &[String], name| names.iter().position(|n| n == name);
+        let index_of = |names: &[String], name| names.iter().position(|known| known == name);
         let entry = EndpointEntry {
-            endpoint: self.ids.of(&endpoint.name),
-            // Out of range where the settings do not name it: the decisions have a place for those.
-            zone: index(&self.zones, &endpoint.zone).unwrap_or(usize::MAX),
-            kind: index(&self.kinds, &endpoint.kind).unwrap_or(usize::MAX),
+            endpoint: self.ids.get_or_assign(&endpoint.name),
+            // The balancer accepts an index out of range for a zone or kind that the settings do not name.
+            zone: index_of(&self.zones, &endpoint.zone).unwrap_or(usize::MAX),
+            kind: index_of(&self.kinds, &endpoint.kind).unwrap_or(usize::MAX),
             cell: endpoint.group,
             weight: endpoint.weight,
             started: (endpoint.since_ms > 0).then_some(endpoint.since_ms as f64),
             phase,
         };
-        Ok((endpoint.name, entry, place.filter(|_| phase != EndpointState::Removed)))
+        Ok((endpoint.name, entry, location.filter(|_| phase != EndpointState::Removed)))
     }
 
-    /// Has the connections follow what was read: all of the list, or changes to it.
-    pub fn follow(&self, entries: Entries, whole: bool) -> Vec<EndpointEntry> {
-        let Entries { read, as_written, .. } = entries;
-        if whole {
-            let named: HashSet<EndpointId> = read.iter().map(|(entry, _)| entry.endpoint).collect();
-            let gone = self.endpoints.known().into_iter().filter(|id| !named.contains(id));
-            gone.for_each(|id| self.endpoints.remove(id));
+    /// Applies parsed entries to the store of connections and to the raw entries. A full snapshot also
+    /// removes every endpoint that it does not contain.
+    pub fn apply(&self, parsed: ParsedEntries, full_snapshot: bool) -> Vec<EndpointEntry> {
+        let ParsedEntries { entries, raw, .. } = parsed;
+        if full_snapshot {
+            let listed: HashSet<EndpointId> = entries.iter().map(|(entry, _)| entry.endpoint).collect();
+            let removed = self.endpoints.endpoint_ids().into_iter().filter(|id| !listed.contains(id));
+            removed.for_each(|id| self.endpoints.remove(id));
         }
-        for (entry, place) in &read {
-            match place {
-                Some(place) => self.endpoints.place(entry.endpoint, *place),
+        for (entry, location) in &entries {
+            match location {
+                Some(location) => self.endpoints.set_location(entry.endpoint, *location),
                 None => self.endpoints.remove(entry.endpoint),
             }
         }
-        if let Some(listed) = &self.listed {
-            let mut listed = listed.borrow_mut();
-            if whole {
-                listed.clear();
+        if let Some(raw_entries) = &self.raw_entries {
+            let mut raw_entries = raw_entries.borrow_mut();
+            if full_snapshot {
+                raw_entries.clear();
             }
-            listed.extend(as_written);
+            raw_entries.extend(raw);
         }
-        read.into_iter().map(|(entry, _)| entry).collect()
+        entries.into_iter().map(|(entry, _)| entry).collect()
     }
 }
--- a/discovery-proto/src/session.rs
+++ b/discovery-proto/src/session.rs
@@ -1,109 +1,118 @@
-//! How old the list held may be, and which call comes next: a state machine without I/O and without a clock
-//! of its own.
+//! Which poll comes next, and how stale the endpoint list can become: a state machine without I/O and without
+//! a clock.
 //!
-//! A change is to be acted on within [`MAX_STALENESS`] of discovery having it. Each state has one deadline
-//! that covers dial, wait and answer together, and their sum over a watch that falls silent, the pause after
-//! it and the call that follows stays within that.
+//! A change must take effect within [`MAX_STALENESS`] of the moment when discovery has it. In each state one
+//! timeout covers connecting, waiting and the response together. The worst case is a watch that stalls, the
+//! backoff after it and the poll that follows; the timeouts are chosen so that their sum stays within that
+//! bound.
 
 use std::time::Duration;
 
-/// A change counts as told so long after discovery had it and could be reached, whatever call failed
-/// meanwhile.
+/// The bound on staleness: from the moment when discovery has a change and is reachable, whatever poll has
+/// failed meanwhile, until the change takes effect.
 const MAX_STALENESS: Duration = Duration::from_secs(6);
-/// Pauses after a call that failed, where calls cost nothing: the first, and the longest.
+/// The first and the longest backoff after a failed poll, if polls cost discovery nothing.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Where calls cost discovery work the decisions say how long to pause: after a watch that broke up to so
-/// long, which is `ASK_ANEW_MOST` there.
-const MAX_DECIDED_BACKOFF: Duration = Duration::from_millis(800);
+/// If polls cost discovery work, the balancer chooses the backoff. This is the longest that it chooses after
+/// a broken watch, `MAX_WATCH_BACKOFF` in the balancer.
+const MAX_BALANCER_BACKOFF: Duration = Duration::from_millis(800);
 
-/// How long calls wait, and how long they may take.
+/// How long discovery may hold polls open, and the timeouts of polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollTiming {
-    /// How long a watch waits. Short: its silence shows when the wait is over, and going on with it costs
-    /// discovery nothing.
-    pub watch: Duration,
-    /// How long its answer may take beyond that.
-    pub answer: Duration,
-    /// How long a call that finds out what was missed waits where nothing was. Above zero it begins a watch,
-    /// which would else be one more call.
-    pub begin: Duration,
-    /// Such a call has so long from its dial to the last byte of its answer.
-    pub resync: Duration,
-    /// One for the whole list has so long.
-    pub whole: Duration,
-    /// Either has so long instead behind a call that failed, and from then on each second time for as long as
-    /// they do.
-    pub patient: Option<Duration>,
+    /// How long discovery holds a watch open if nothing changes. Short, because a stalled watch is noticed
+    /// only when this time is over, and renewing a watch costs discovery nothing.
+    pub watch_wait: Duration,
+    /// How much longer than that the response to a watch may take.
+    pub response_margin: Duration,
+    /// How long discovery holds a resync open if nothing was missed. Above zero, the resync already starts
+    /// the next watch, which saves a separate poll.
+    pub resync_wait: Duration,
+    /// The timeout of a resync, from connecting to the last byte of the response.
+    pub resync_timeout: Duration,
+    /// The timeout of a poll for a full snapshot, likewise.
+    pub snapshot_timeout: Duration,
+    /// Replaces the timeout of a resync or a full snapshot after a failed poll. While polls go on failing it
+    /// applies to every second one.
+    pub extended_timeout: Option<Duration>,
 }
 
 impl PollTiming {
-    /// Of a client proxy whose agent, or relay, has the list at hand.
+    /// For a client proxy that polls a relay, or an agent that has the list in memory.
     pub const DIRECT: PollTiming = PollTiming {
-        watch: Duration::from_millis(1_500),
-        answer: Duration::from_millis(500),
-        begin: Duration::ZERO,
-        resync: Duration::from_millis(2_500),
-        whole: Duration::from_millis(2_500),
-        patient: None,
+        watch_wait: Duration::from_millis(1_500),
+        response_margin: Duration::from_millis(500),
+        resync_wait: Duration::ZERO,
+        resync_timeout: Duration::from_millis(2_500),
+        snapshot_timeout: Duration::from_millis(2_500),
+        extended_timeout: None,
     };
-    /// Of one whose agent may answer as late as a discovery that a whole fleet asks. Not all calls can have
-    /// so long: one that hangs, the pause and the next are to stay within 6 s.
+    /// For a client proxy whose agent may respond as late as a discovery that a whole fleet polls. Not every
+    /// poll can have the longer timeout: a poll that hangs, the backoff and the next poll have to stay within
+    /// 6 s.
     pub const AGENT: PollTiming = PollTiming {
-        resync: Duration::from_millis(2_300),
-        whole: Duration::from_millis(2_300),
-        patient: Some(Duration::from_millis(3_200)),
+        resync_timeout: Duration::from_millis(2_300),
+        snapshot_timeout: Duration::from_millis(2_300),
+        extended_timeout: Some(Duration::from_millis(3_200)),
         ..PollTiming::DIRECT
     };
-    /// Of one that asks the same discovery as its whole fleet: calls queue, and one that is given up is
-    /// worked on in vain, so that the queue stays full. None was kept for longer than 3 s on the operators'
-    /// days; what would be is refused at once.
+    /// For a client proxy that polls the same discovery as its whole fleet. Polls queue there, and discovery
+    /// still works on one whose caller has given up, which keeps the queue full. So the timeouts exceed 3 s,
+    /// the longest that a poll was queued in the operators' scenarios; discovery rejects at once a poll that
+    /// would wait longer.
     pub const QUEUED: PollTiming = PollTiming {
-        begin: Duration::from_millis(100),
-        resync: Duration::from_millis(3_200),
-        whole: Duration::from_millis(3_200),
+        resync_wait: Duration::from_millis(100),
+        resync_timeout: Duration::from_millis(3_200),
+        snapshot_timeout: Duration::from_millis(3_200),
         ..PollTiming::DIRECT
     };
-    /// Of a relay, of which there are few: a hop that falls silent must leave its callers their own time. The
-    /// whole list of a large fleet takes longer than a change.
+    /// For a relay. A relay that stalls must leave its downstreams enough time for their own polls, and there
+    /// are few relays, so frequent polls are affordable. The full snapshot of a large fleet takes longer than
+    /// a change.
     pub const RELAY: PollTiming = PollTiming {
-        watch: Duration::from_millis(500),
-        answer: Duration::from_millis(250),
-        begin: Duration::ZERO,
-        resync: Duration::from_millis(750),
-        whole: Duration::from_secs(10),
-        patient: None,
+        watch_wait: Duration::from_millis(500),
+        response_margin: Duration::from_millis(250),
+        resync_wait: Duration::ZERO,
+        resync_timeout: Duration::from_millis(750),
+        snapshot_timeout: Duration::from_secs(10),
+        extended_timeout: None,
     };
 
-    /// Until a watch that falls silent the moment it has begun is given up.
-    const fn silence(&self) -> u128 {
-        self.watch.as_millis() + self.answer.as_millis()
+    /// How long until a watch that stalls right after its start times out.
+    const fn watch_timeout_ms(&self) -> u128 {
+        self.watch_wait.as_millis() + self.response_margin.as_millis()
     }
 }
 
-/// A watch that falls silent the moment it has begun, the longest pause and a call as slow as may be.
-const SILENCE: u128 =
-    PollTiming::QUEUED.silence() + MAX_DECIDED_BACKOFF.as_millis() + PollTiming::QUEUED.resync.as_millis();
-/// Two relays whose watches fall silent one after the other, each with the pause after it, and then the
-/// caller's own.
-const TWO_HOPS: u128 = 2 * (PollTiming::RELAY.silence() + MIN_BACKOFF.as_millis())
-    + PollTiming::DIRECT.silence()
+/// The worst case without relays: a watch that stalls right after its start, the longest backoff, and a
+/// resync that takes all of its timeout.
+const STALLED_WATCH_RECOVERY_MS: u128 = PollTiming::QUEUED.watch_timeout_ms()
+    + MAX_BALANCER_BACKOFF.as_millis()
+    + PollTiming::QUEUED.resync_timeout.as_millis();
+/// The worst case with relays: the watches of two relays stall one after the other, each followed by a
+/// backoff, and then the client proxy's own watch stalls and it fails over.
+const TWO_HOP_RECOVERY_MS: u128 = 2 * (PollTiming::RELAY.watch_timeout_ms() + MIN_BACKOFF.as_millis())
+    + PollTiming::DIRECT.watch_timeout_ms()
     + crate::FAILOVER_SPREAD.as_millis();
-const _: () = assert!(SILENCE <= MAX_STALENESS.as_millis() && TWO_HOPS <= MAX_STALENESS.as_millis());
-const _: () = assert!(MAX_BACKOFF.as_millis() <= MAX_DECIDED_BACKOFF.as_millis());
+const _: () = assert!(
+    STALLED_WATCH_RECOVERY_MS <= MAX_STALENESS.as_millis()
+        && TWO_HOP_RECOVERY_MS <= MAX_STALENESS.as_millis()
+);
+const _: () = assert!(MAX_BACKOFF.as_millis() <= MAX_BALANCER_BACKOFF.as_millis());
 
-/// One call to discovery.
+/// One poll of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Call {
-    /// Asks for what is newer than this version; for the whole list where there is none.
+pub struct PollRequest {
+    /// Requests the changes after this version; a full snapshot if `None`.
     pub after: Option<u64>,
-    /// How long discovery may wait for news.
+    /// How long discovery may hold the poll open until there is a change.
     pub wait: Duration,
-    /// Given up if its answer is not there whole by then, counted from the beginning of its dial.
-    pub within: Duration,
+    /// The poll fails if its response is not complete by then, counted from the start of connecting.
+    pub timeout: Duration,
 }
 
-impl Call {
+impl PollRequest {
     /// Path and query.
     pub fn path(&self) -> String {
         match self.after {
@@ -113,124 +122,145 @@
     }
 }
 
-/// What an answer holds, as far as it matters here.
+/// What a [`Session`] needs to know of a response.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseSummary {
-    /// The version that it brings the list to.
+    /// The version that the list has after this response.
     pub index: u64,
-    /// It is the whole list.
-    pub whole: bool,
-    /// Entries that were read.
-    pub read: usize,
-    /// And those that could not be.
+    /// Whether it is a full snapshot.
+    pub full_snapshot: bool,
+    /// The number of valid entries.
+    pub readable: usize,
+    /// The number of entries that could not be parsed.
     pub unreadable: usize,
 }
 
-/// What becomes of an answer.
+/// Whether a response may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the list from now on, or the changes to it.
+    /// The list, or the changes to it, are to be applied.
     Applied,
-    /// Nothing of it holds; the whole list is asked for next.
-    Doubtful,
+    /// The response must be ignored as a whole; the next poll requests a full snapshot.
+    Rejected,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The last call was answered, and the next one goes on with its watch.
+    /// The last poll succeeded; the next one renews its watch.
     Watching,
-    /// The next call finds out at once what was missed.
+    /// The next poll fetches what was missed, with a short wait or none.
     Resyncing,
-    /// A call failed, and the next one resyncs after a pause.
-    BackingOff { pause: Duration, is_patient: bool },
+    /// A poll failed; the next one resyncs after a backoff.
+    BackingOff { backoff: Duration, is_extended: bool },
 }
 
-/// See the module documentation.
+/// Decides which poll comes next. See the module documentation.
 #[derive(Debug)]
 pub struct Session {
-    pace: PollTiming,
+    timing: PollTiming,
     state: State,
-    /// The version of the list held; `None` asks for the whole.
-    held: Option<u64>,
-    /// The newest version that discovery has told.
+    /// The version of the current list; `None` if the next poll has to request a full snapshot.
+    version: Option<u64>,
+    /// The version of the last response that was applied.
     newest: Option<u64>,
-    /// Whole lists older than that in a row.
-    older: u32,
+    /// The number of consecutive full snapshots older than `newest`.
+    older_snapshots: u32,
 }
 
 impl Session {
-    /// Nothing was asked yet; `known` is the version of what is held from before, if it is built on.
-    pub fn new(pace: PollTiming, known: Option<u64>) -> Session {
-        Session { pace, state: State::Resyncing, held: known, newest: None, older: 0 }
+    /// Starts with a resync. `cached` is the version of a list from an earlier process, if polls may ask for
+    /// the changes after it.
+    pub fn new(timing: PollTiming, cached: Option<u64>) -> Session {
+        Session { timing, state: State::Resyncing, version: cached, newest: None, older_snapshots: 0 }
     }
 
-    /// The next call.
-    pub fn call(&self) -> Call {
-        let PollTiming { watch, answer, begin, resync, whole, patient } = self.pace;
-        let patient = patient.filter(|_| matches!(self.state, State::BackingOff { is_patient: true, .. }));
-        match (self.state, self.held) {
-            (State::Watching, after) => Call { after, wait: watch, within: watch + answer },
-            (_, None) => Call { after: None, wait: Duration::ZERO, within: patient.unwrap_or(whole) },
-            (_, after) => Call { after, wait: begin, within: patient.unwrap_or(resync) },
+    /// The next poll.
+    pub fn next_poll(&self) -> PollRequest {
+        let PollTiming {
+            watch_wait,
+            response_margin,
+            resync_wait,
+            resync_timeout,
+            snapshot_timeout,
+            extended_timeout,
+        } = self.timing;
+        let extended =
+            extended_timeout.filter(|_| matches!(self.state, State::BackingOff { is_extended: true, .. }));
+        match (self.state, self.version) {
+            (State::Watching, after) => {
+                PollRequest { after, wait: watch_wait, timeout: watch_wait + response_margin }
+            }
+            (_, None) => PollRequest {
+                after: None,
+                wait: Duration::ZERO,
+                timeout: extended.unwrap_or(snapshot_timeout),
+            },
+            (_, after) => {
+                PollRequest { after, wait: resync_wait, timeout: extended.unwrap_or(resync_timeout) }
+            }
         }
     }
 
-    /// What was answered is not acted upon after all: the whole list is asked for next.
-    pub fn doubt(&mut self) {
-        (self.state, self.held) = (State::Resyncing, None);
+    /// Makes the next poll request a full snapshot, for a caller that does not act on the last response.
+    pub fn request_full_snapshot(&mut self) {
+        (self.state, self.version) = (State::Resyncing, None);
     }
 
-    /// Another source is asked for the same list: what it knows beyond what is held is asked for at once.
-    pub fn moved(&mut self) {
+    /// The next poll goes to another source of the same list. It is a resync, since that source may already
+    /// have newer changes.
+    pub fn source_changed(&mut self) {
         self.state = State::Resyncing;
     }
 
-    /// Another discovery is asked from now on. Its versions say nothing of those before: its whole list holds
-    /// at once, also where it counts from less.
-    pub fn replaced(&mut self) {
-        (self.newest, self.older) = (None, 0);
+    /// The next poll goes to a different discovery, whose versions cannot be compared with those seen so far:
+    /// its first full snapshot is applied even if its version is lower.
+    pub fn reset_versions(&mut self) {
+        (self.newest, self.older_snapshots) = (None, 0);
     }
 
-    /// An answer came whole and could be read.
-    pub fn answered(&mut self, told: ResponseSummary) -> Verdict {
-        let ResponseSummary { index, whole, read, unreadable } = told;
-        let sound = if whole {
-            // Guards against an old answer over a newer one. A discovery that was set back says so twice.
-            let old = self.newest.is_some_and(|newest| index < newest);
-            self.older = if old { self.older + 1 } else { 0 };
-            !old || self.older > 1
+    /// Records a complete response that could be parsed, and decides whether to apply it.
+    pub fn on_response(&mut self, response: ResponseSummary) -> Verdict {
+        let ResponseSummary { index, full_snapshot, readable, unreadable } = response;
+        let is_valid = if full_snapshot {
+            // A response delayed on its way must not overwrite a newer list. If discovery itself was set back
+            // to an older version, it repeats that version in the next full snapshot.
+            let is_older = self.newest.is_some_and(|newest| index < newest);
+            self.older_snapshots = if is_older { self.older_snapshots + 1 } else { 0 };
+            !is_older || self.older_snapshots > 1
         } else {
-            // Guards against changes to a list that is not the one held, and against a change that nobody
-            // acts on because it could not be read.
-            let follows = self.held.is_some_and(|held| index > held || index == held && read == 0);
+            // Changes apply only on top of the current version. An unreadable change cannot be applied, and
+            // would be lost once the version moves past it.
+            let follows =
+                self.version.is_some_and(|version| index > version || index == version && readable == 0);
             follows && unreadable == 0
         };
-        if !sound {
-            self.doubt();
-            return Verdict::Doubtful;
+        if !is_valid {
+            self.request_full_snapshot();
+            return Verdict::Rejected;
         }
-        // The whole list is no watch; where a call has to begin one, that is the next.
-        let next = if !self.pace.begin.is_zero() && self.held.is_none() {
+        // A full snapshot does not start a watch. If a poll has to start one, that is the next poll.
+        let next = if !self.timing.resync_wait.is_zero() && self.version.is_none() {
             State::Resyncing
         } else {
             State::Watching
         };
-        (self.state, self.held, self.newest, self.older) = (next, Some(index), Some(index), 0);
+        (self.state, self.version, self.newest, self.older_snapshots) = (next, Some(index), Some(index), 0);
         Verdict::Applied
     }
 
-    /// The call failed, was refused, was given up, or (`spoilt`) had an answer that is no list. The pause
-    /// from here is for who decides about it.
-    pub fn failed(&mut self, spoilt: bool) -> Duration {
-        let (pause, is_patient) = match self.state {
-            State::BackingOff { pause, is_patient } => ((2 * pause).min(MAX_BACKOFF), !is_patient),
+    /// Records a poll that failed, was rejected or timed out, or whose response was not a valid list
+    /// (`invalid_response`). Returns the backoff before the next poll, for callers that have no backoff of
+    /// their own.
+    pub fn on_failure(&mut self, invalid_response: bool) -> Duration {
+        let (backoff, is_extended) = match self.state {
+            State::BackingOff { backoff, is_extended } => ((2 * backoff).min(MAX_BACKOFF), !is_extended),
             _ => (MIN_BACKOFF, true),
         };
-        self.state = State::BackingOff { pause, is_patient };
-        if spoilt {
-            self.held = None;
+        self.state = State::BackingOff { backoff, is_extended };
+        if invalid_response {
+            self.version = None;
         }
-        pause
+        backoff
     }
 }
 
--- a/discovery-proto/src/session/tests.rs
+++ b/discovery-proto/src/session/tests.rs
@@ -1,82 +1,105 @@
 use super::*;
 
-const EMPTY: ResponseSummary = ResponseSummary { index: 41, whole: false, read: 0, unreadable: 0 };
-const WHOLE: ResponseSummary = ResponseSummary { index: 41, whole: true, read: 3, unreadable: 0 };
-const CHANGE: ResponseSummary = ResponseSummary { index: 42, whole: false, read: 1, unreadable: 0 };
+const EMPTY: ResponseSummary =
+    ResponseSummary { index: 41, full_snapshot: false, readable: 0, unreadable: 0 };
+const FULL_SNAPSHOT: ResponseSummary =
+    ResponseSummary { index: 41, full_snapshot: true, readable: 3, unreadable: 0 };
+const CHANGE: ResponseSummary =
+    ResponseSummary { index: 42, full_snapshot: false, readable: 1, unreadable: 0 };
 
 fn watching() -> Session {
     let mut session = Session::new(PollTiming::DIRECT, None);
-    assert_eq!(session.call(), Call { after: None, wait: Duration::ZERO, within: PollTiming::DIRECT.resync });
-    assert_eq!(session.answered(WHOLE), Verdict::Applied);
+    assert_eq!(
+        session.next_poll(),
+        PollRequest { after: None, wait: Duration::ZERO, timeout: PollTiming::DIRECT.resync_timeout }
+    );
+    assert_eq!(session.on_response(FULL_SNAPSHOT), Verdict::Applied);
     session
 }
 
-/// Guards against a list that is quietly old: a watch that falls silent the moment it has begun, the longest
-/// pause that follows and a call as slow as may be are together no longer than a change may stay unheard.
+/// While a watch is stalled, changes are missed without any error. A watch that stalls right after its start,
+/// the longest backoff after it and a resync that takes all of its timeout must together stay within the
+/// bound on staleness.
 #[test]
-fn a_watch_that_falls_silent_is_made_up_for_in_time() {
+fn stalled_watch_recovers_within_max_staleness() {
     let mut session = watching();
-    let silent = session.call().within;
-    assert_eq!((session.call().after, session.call().wait), (Some(41), PollTiming::DIRECT.watch));
-    let mut pauses = Vec::from_iter((0..8).map(|_| session.failed(false)));
-    assert!(pauses.is_sorted() && pauses.pop() == Some(MAX_BACKOFF), "{pauses:?}");
-    let resync = session.call();
-    assert_eq!((resync.after, resync.wait), (Some(41), Duration::ZERO), "what was missed, at once");
-    assert!(silent + MAX_BACKOFF + resync.within <= MAX_STALENESS);
-    // Discovery that comes back while a call to it hangs: that one, the pause and the next.
-    assert!(resync.within + MAX_BACKOFF + resync.within <= MAX_STALENESS);
-    assert_eq!(session.answered(EMPTY), Verdict::Applied);
-    assert_eq!(session.call().wait, PollTiming::DIRECT.watch);
+    let watch_timeout = session.next_poll().timeout;
+    assert_eq!(
+        (session.next_poll().after, session.next_poll().wait),
+        (Some(41), PollTiming::DIRECT.watch_wait)
+    );
+    let mut backoffs = Vec::from_iter((0..8).map(|_| session.on_failure(false)));
+    assert!(backoffs.is_sorted() && backoffs.pop() == Some(MAX_BACKOFF), "{backoffs:?}");
+    let resync = session.next_poll();
+    assert_eq!((resync.after, resync.wait), (Some(41), Duration::ZERO), "resync without a wait");
+    assert!(watch_timeout + MAX_BACKOFF + resync.timeout <= MAX_STALENESS);
+    // Discovery recovers while a poll hangs: that poll, the backoff and the next poll.
+    assert!(resync.timeout + MAX_BACKOFF + resync.timeout <= MAX_STALENESS);
+    assert_eq!(session.on_response(EMPTY), Verdict::Applied);
+    assert_eq!(session.next_poll().wait, PollTiming::DIRECT.watch_wait);
 }
 
-/// Guards against an agent that answers late and is never waited for long enough: it is, behind a watch that
-/// broke and behind a call that was given up, and the sums above hold all the same, in whatever order calls
-/// fail.
+/// An agent that always responds after 3 s would never be waited for long enough if every poll had the short
+/// timeout. After a broken watch, and after a poll that timed out, the next poll waits longer; the sums still
+/// stay within the bound on staleness, in whatever order polls fail.
 #[test]
-fn an_agent_that_answers_late_is_waited_for_in_time() {
-    const LATE: Duration = Duration::from_secs(3);
+fn slow_agent_gets_extended_timeout_within_max_staleness() {
+    const RESPONSE_DELAY: Duration = Duration::from_secs(3);
     let mut session = Session::new(PollTiming::AGENT, None);
-    let first = session.call().within;
-    let pause = session.failed(false);
-    assert!(session.call().within > LATE && first + pause + LATE <= MAX_STALENESS, "the whole list");
-    session.answered(WHOLE);
-    let silent = session.call().within;
-    session.failed(false);
-    assert!(session.call().within > LATE && silent + MAX_BACKOFF + session.call().within <= MAX_STALENESS);
+    let first = session.next_poll().timeout;
+    let backoff = session.on_failure(false);
+    assert!(
+        session.next_poll().timeout > RESPONSE_DELAY && first + backoff + RESPONSE_DELAY <= MAX_STALENESS,
+        "full snapshot"
+    );
+    session.on_response(FULL_SNAPSHOT);
+    let watch_timeout = session.next_poll().timeout;
+    session.on_failure(false);
+    assert!(
+        session.next_poll().timeout > RESPONSE_DELAY
+            && watch_timeout + MAX_BACKOFF + session.next_poll().timeout <= MAX_STALENESS
+    );
     for n in 0..8 {
-        let hangs = session.call().within;
-        session.failed(false);
-        assert!(hangs + MAX_BACKOFF + session.call().within <= MAX_STALENESS, "{n}");
+        let timed_out_after = session.next_poll().timeout;
+        session.on_failure(false);
+        assert!(timed_out_after + MAX_BACKOFF + session.next_poll().timeout <= MAX_STALENESS, "{n}");
     }
-    session.answered(EMPTY);
-    session.moved();
-    let first = session.call().within;
-    let pause = session.failed(false);
-    assert!(session.call().within > LATE && first + pause + LATE <= MAX_STALENESS, "after a move");
+    session.on_response(EMPTY);
+    session.source_changed();
+    let first = session.next_poll().timeout;
+    let backoff = session.on_failure(false);
+    assert!(
+        session.next_poll().timeout > RESPONSE_DELAY && first + backoff + RESPONSE_DELAY <= MAX_STALENESS,
+        "after a change of the source"
+    );
 }
 
-/// Guards against an old answer that takes back a drain: it is not taken, and the whole list is asked for.
+/// A delayed response with an older full snapshot would undo a drain. It is rejected, and a full snapshot is
+/// requested; only a second older one in a row shows that discovery itself was set back.
 #[test]
-fn an_older_list_is_not_taken_unless_discovery_was_set_back() {
+fn older_snapshot_applies_only_when_repeated() {
     let mut session = watching();
-    let older = ResponseSummary { index: 40, ..WHOLE };
-    assert_eq!(session.answered(older), Verdict::Doubtful);
-    assert_eq!(session.call(), Call { after: None, wait: Duration::ZERO, within: PollTiming::DIRECT.resync });
-    assert_eq!(session.answered(ResponseSummary { index: 43, ..WHOLE }), Verdict::Applied);
-    // One old answer was not the last word before either.
-    assert_eq!(session.answered(older), Verdict::Doubtful);
-    assert_eq!(session.answered(older), Verdict::Applied, "it says so when asked anew");
-    assert_eq!(session.call().after, Some(40));
-    // Of another discovery it is not older.
-    session.replaced();
-    assert_eq!(session.answered(ResponseSummary { index: 7, ..WHOLE }), Verdict::Applied);
+    let older = ResponseSummary { index: 40, ..FULL_SNAPSHOT };
+    assert_eq!(session.on_response(older), Verdict::Rejected);
+    assert_eq!(
+        session.next_poll(),
+        PollRequest { after: None, wait: Duration::ZERO, timeout: PollTiming::DIRECT.resync_timeout }
+    );
+    assert_eq!(session.on_response(ResponseSummary { index: 43, ..FULL_SNAPSHOT }), Verdict::Applied);
+    // A newer snapshot in between resets the count.
+    assert_eq!(session.on_response(older), Verdict::Rejected);
+    assert_eq!(session.on_response(older), Verdict::Applied, "second older snapshot in a row");
+    assert_eq!(session.next_poll().after, Some(40));
+    // Versions of a different discovery are not compared with those.
+    session.reset_versions();
+    assert_eq!(session.on_response(ResponseSummary { index: 7, ..FULL_SNAPSHOT }), Verdict::Applied);
 }
 
-/// Guards against changes that do not belong to the list held, and against one that is heard but cannot be
-/// read.
+/// Changes that do not build on the current version would corrupt the list, and an unreadable change would be
+/// lost once the version moves past it. Both are rejected, and a full snapshot is requested.
 #[test]
-fn changes_that_do_not_follow_are_not_taken() {
-    for odd in [
+fn changes_that_do_not_fit_are_rejected() {
+    for unfit in [
         ResponseSummary { index: 40, ..CHANGE },
         ResponseSummary { index: 40, ..EMPTY },
         ResponseSummary { index: 41, ..CHANGE },
@@ -84,97 +107,112 @@
         ResponseSummary { index: 42, unreadable: 1, ..EMPTY },
     ] {
         let mut session = watching();
-        assert_eq!(session.answered(odd), Verdict::Doubtful, "{odd:?}");
-        assert_eq!(session.call().after, None, "{odd:?}");
+        assert_eq!(session.on_response(unfit), Verdict::Rejected, "{unfit:?}");
+        assert_eq!(session.next_poll().after, None, "{unfit:?}");
     }
     let mut session = watching();
-    assert_eq!(session.answered(CHANGE), Verdict::Applied);
-    assert_eq!(session.answered(ResponseSummary { index: 42, ..EMPTY }), Verdict::Applied);
-    assert_eq!(session.call().after, Some(42));
+    assert_eq!(session.on_response(CHANGE), Verdict::Applied);
+    assert_eq!(session.on_response(ResponseSummary { index: 42, ..EMPTY }), Verdict::Applied);
+    assert_eq!(session.next_poll().after, Some(42));
 }
 
-/// Guards against trust in what was held when an answer was no list: all of it is asked for.
+/// A response that is not a list casts doubt on the current version, so the next poll requests a full
+/// snapshot. A mere change of the source keeps the version.
 #[test]
-fn after_a_spoilt_answer_the_whole_list_is_asked_for() {
+fn invalid_response_leads_to_full_snapshot() {
     let mut session = watching();
-    session.failed(true);
-    assert_eq!(session.call().after, None);
+    session.on_failure(true);
+    assert_eq!(session.next_poll().after, None);
     let mut session = watching();
-    session.moved();
-    assert_eq!((session.call().after, session.call().wait), (Some(41), Duration::ZERO));
+    session.source_changed();
+    assert_eq!((session.next_poll().after, session.next_poll().wait), (Some(41), Duration::ZERO));
 }
 
-/// Guards against a watch that is one more call in the queue of one discovery, and against a call that is
-/// given up while it still waits there; and against a list that is quietly old all the same.
+/// If a fleet shares one discovery, a watch that starts with a separate poll adds to discovery's queue, and a
+/// poll that times out while it is still queued has been worked on for nothing. So the resync starts the
+/// watch and waits for as long as polls are queued, and the sum stays within the bound on staleness all the
+/// same.
 #[test]
-fn a_call_that_queues_begins_the_watch_and_is_waited_for() {
+fn queued_resync_starts_watch_and_waits_long() {
     let mut session = Session::new(PollTiming::QUEUED, None);
-    assert_eq!(session.call(), Call { after: None, wait: Duration::ZERO, within: PollTiming::QUEUED.resync });
-    assert_eq!(session.answered(WHOLE), Verdict::Applied);
     assert_eq!(
-        session.call(),
-        Call { after: Some(41), wait: PollTiming::QUEUED.begin, within: PollTiming::QUEUED.resync }
+        session.next_poll(),
+        PollRequest { after: None, wait: Duration::ZERO, timeout: PollTiming::QUEUED.resync_timeout }
+    );
+    assert_eq!(session.on_response(FULL_SNAPSHOT), Verdict::Applied);
+    assert_eq!(
+        session.next_poll(),
+        PollRequest {
+            after: Some(41),
+            wait: PollTiming::QUEUED.resync_wait,
+            timeout: PollTiming::QUEUED.resync_timeout
+        }
     );
-    assert_eq!(session.answered(EMPTY), Verdict::Applied);
-    let silent = session.call();
-    assert_eq!((silent.after, silent.wait), (Some(41), PollTiming::DIRECT.watch));
-    session.failed(false);
-    let resync = session.call();
-    assert_eq!((resync.after, resync.wait), (Some(41), PollTiming::QUEUED.begin));
-    assert!(silent.within + MAX_DECIDED_BACKOFF + resync.within <= MAX_STALENESS);
+    assert_eq!(session.on_response(EMPTY), Verdict::Applied);
+    let watch = session.next_poll();
+    assert_eq!((watch.after, watch.wait), (Some(41), PollTiming::DIRECT.watch_wait));
+    session.on_failure(false);
+    let resync = session.next_poll();
+    assert_eq!((resync.after, resync.wait), (Some(41), PollTiming::QUEUED.resync_wait));
+    assert!(watch.timeout + MAX_BALANCER_BACKOFF + resync.timeout <= MAX_STALENESS);
 }
 
-/// How long discovery works on a call, for how long it keeps one waiting, and how long the decisions pause at
-/// the most after a watch that broke and after another call that failed, in milliseconds.
-const WORK: u64 = 230;
-const KEPT: u64 = 3_000;
-const PAUSES: [u64; 2] = [800, 2_800];
+/// How long discovery works on a poll.
+const WORK_MS: u64 = 230;
+/// The longest for which discovery queues a poll.
+const MAX_QUEUED_MS: u64 = 3_000;
+/// The balancer's longest backoff after a broken watch, and after any other failed poll.
+const MAX_BACKOFFS_MS: [u64; 2] = [800, 2_800];
 
-/// Guards against a discovery whose queue is kept full of calls that nobody waits for any more: a fleet that
-/// begins to watch within a second, with calls that take seven, is watching soon, and goes on.
+/// If polls time out while discovery still has them in its queue, the queue stays full of polls that nobody
+/// waits for, and the fleet never gets through. Here 32 client proxies start within a second, and discovery
+/// needs seven seconds for their polls; all of them have to be watching after 20 s, without any poll that was
+/// worked on for nothing.
 #[test]
-fn a_fleet_that_begins_together_is_watching_soon() {
+fn fleet_started_together_watches_without_wasted_polls() {
     const FLEET: usize = 32;
     let mut sessions: Vec<Session> = (0..FLEET).map(|_| Session::new(PollTiming::QUEUED, Some(41))).collect();
-    // When the next step of each is due: a call, or the end of one that is out.
+    // When each client proxy's next step is due: the start of a poll, or the end of the one in flight.
     let mut due: Vec<u64> = (0..FLEET as u64).map(|me| me * 31).collect();
-    let mut out: Vec<Option<bool>> = vec![None; FLEET];
-    let (mut continues, mut busy, mut chance, mut wasted) = ([false; FLEET], 0, 0, 0);
+    // The poll in flight, if any, and whether it will succeed.
+    let mut in_flight: Vec<Option<bool>> = vec![None; FLEET];
+    let (mut is_watching, mut busy_until, mut random, mut wasted) = ([false; FLEET], 0, 0, 0);
     for now in 0..20_000 {
         for me in 0..FLEET {
             if due[me] != now {
                 continue;
             }
-            let call = sessions[me].call();
-            let Some(answered) = out[me].take() else {
-                let (wait, within) = (call.wait.as_millis() as u64, call.within.as_millis() as u64);
-                // A watch that goes on costs nothing; all else is worked on one after another, or refused.
-                let done = now.max(busy) + WORK;
-                let refused = !continues[me] && done > now + KEPT;
-                if !continues[me] && !refused {
-                    busy = done;
+            let poll = sessions[me].next_poll();
+            let Some(succeeded) = in_flight[me].take() else {
+                let (wait, timeout) = (poll.wait.as_millis() as u64, poll.timeout.as_millis() as u64);
+                // Renewing a watch is free; all other polls are worked on one after another, or rejected.
+                let done = now.max(busy_until) + WORK_MS;
+                let rejected = !is_watching[me] && done > now + MAX_QUEUED_MS;
+                if !is_watching[me] && !rejected {
+                    busy_until = done;
                 }
-                let end = if continues[me] { now + wait } else { done.max(now + wait) };
-                let given_up = !refused && end > now + within;
-                wasted += usize::from(given_up);
-                out[me] = Some(!refused && !given_up);
-                due[me] = if refused { now + 4 } else { end.min(now + within) };
+                let end = if is_watching[me] { now + wait } else { done.max(now + wait) };
+                let timed_out = !rejected && end > now + timeout;
+                wasted += usize::from(timed_out);
+                in_flight[me] = Some(!rejected && !timed_out);
+                due[me] = if rejected { now + 4 } else { end.min(now + timeout) };
                 continue;
             };
-            // By the rule, a call that follows a watch's answer at once goes on with it.
-            continues[me] = answered && !call.wait.is_zero();
+            // By discovery's rule, a poll right after the response to a watch renews that watch.
+            is_watching[me] = succeeded && !poll.wait.is_zero();
             due[me] = now + 1;
-            if answered {
-                let told = ResponseSummary { index: 41, whole: call.after.is_none(), ..EMPTY };
-                assert_eq!(sessions[me].answered(told), Verdict::Applied);
+            if succeeded {
+                let response = ResponseSummary { index: 41, full_snapshot: poll.after.is_none(), ..EMPTY };
+                assert_eq!(sessions[me].on_response(response), Verdict::Applied);
             } else {
-                let most = PAUSES[usize::from(sessions[me].call().wait != PollTiming::DIRECT.watch)];
-                sessions[me].failed(false);
-                chance = (chance + 618) % 1000;
-                due[me] += most * chance / 1000;
+                let max_backoff = MAX_BACKOFFS_MS
+                    [usize::from(sessions[me].next_poll().wait != PollTiming::DIRECT.watch_wait)];
+                sessions[me].on_failure(false);
+                random = (random + 618) % 1000;
+                due[me] += max_backoff * random / 1000;
             }
         }
     }
-    let watching = continues.iter().filter(|continues| **continues).count();
-    assert_eq!((watching, wasted), (FLEET, 0), "of {FLEET}; calls worked on in vain");
+    let watching = is_watching.iter().filter(|is_watching| **is_watching).count();
+    assert_eq!((watching, wasted), (FLEET, 0), "watching of {FLEET}, polls worked on for nothing");
 }
--- a/discovery-proto/src/sources.rs
+++ b/discovery-proto/src/sources.rs
@@ -1,28 +1,28 @@
-//! Which of several sources of one list is asked: near ones first, each left alone for a while after it
-//! failed, and callers of one that fails spread over the others. Without I/O and without a clock; all copies
-//! of a source tell the same versions, so what is held goes along from one to the next.
+//! Selects which of several sources of one list to poll: near sources first, a source that failed not again
+//! for a while, and the clients of a failed source spread over the others. Without I/O and without a clock.
+//! All sources serve the same versions, so the current list stays valid when the source changes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use rand_core::Rng;
 
-/// Callers of a source that has failed come to the next one within so long, by chance: all see it fail at
-/// once.
+/// The clients of a failed source fail over after a random delay of up to this. They all see it fail at the
+/// same moment, and would otherwise reach the other sources at the same moment.
 pub const FAILOVER_SPREAD: Duration = Duration::from_millis(500);
-/// How long a source that failed is left alone, the first time and at the most.
+/// How long a source that failed is avoided: the first time, and at most.
 const MIN_QUARANTINE: Duration = Duration::from_secs(1);
 const MAX_QUARANTINE: Duration = Duration::from_secs(60);
-/// From a far source the way back to a near one is tried after between half of this and all of it.
+/// A client of a far source tries to return to a near one after between half of this and all of it.
 const FAILBACK_AFTER: Duration = Duration::from_secs(60);
 
-/// What follows from a failed call.
+/// How to go on after a failed poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fallback {
-    /// The same call is made at another source, after this pause.
-    Elsewhere(Duration),
-    /// All have failed since one last answered: whoever decides about pauses decides.
-    NoneLeft,
+    /// Repeat the poll at another source after this delay.
+    NextSource(Duration),
+    /// All sources have failed since the last response; the caller decides how long to back off.
+    AllFailed,
 }
 
 #[derive(Debug)]
@@ -30,111 +30,125 @@
     address: SocketAddr,
     far: bool,
     quarantined_until: Duration,
-    rest: Duration,
-    /// It failed since a source last answered.
+    quarantine: Duration,
+    /// Whether it failed since any source last responded.
     failed: bool,
 }
 
-/// See the module documentation. `now` is the time since some fixed moment.
+/// Selects the source to poll. See the module documentation. `now` is the time since some fixed moment.
 #[derive(Debug)]
 pub struct Sources {
-    all: Vec<Source>,
-    at: usize,
-    /// When to go back to a near one.
-    back_at: Option<Duration>,
+    sources: Vec<Source>,
+    current: usize,
+    /// When to return to a near source, if the current one is far.
+    fail_back_at: Option<Duration>,
 }
 
 impl Sources {
-    /// Begins at a near source that chance picks; at a far one where there are no near ones. Nothing without
-    /// any.
+    /// Starts with a random near source, or a random far one if there are no near ones. `None` if there are
+    /// no sources at all.
     pub fn new(near: &[SocketAddr], far: &[SocketAddr], rng: &mut impl Rng) -> Option<Sources> {
         let source = |far| {
             move |&address| Source {
                 address,
                 far,
                 quarantined_until: Duration::ZERO,
-                rest: MIN_QUARANTINE,
+                quarantine: MIN_QUARANTINE,
                 failed: false,
             }
         };
-        let all: Vec<Source> = near.iter().map(source(false)).chain(far.iter().map(source(true))).collect();
-        let first = if near.is_empty() { far.len() } else { near.len() };
-        (!all.is_empty()).then(|| Sources { at: below(first, rng), back_at: None, all })
+        let sources: Vec<Source> =
+            near.iter().map(source(false)).chain(far.iter().map(source(true))).collect();
+        let preferred = if near.is_empty() { far.len() } else { near.len() };
+        (!sources.is_empty()).then(|| Sources {
+            current: random_index(preferred, rng),
+            fail_back_at: None,
+            sources,
+        })
     }
 
-    /// Whom to ask.
+    /// The address of the source to poll.
     pub fn address(&self) -> SocketAddr {
-        self.all[self.at].address
+        self.sources[self.current].address
     }
 
-    /// Whether there is only one.
+    /// Whether there is only one source.
     pub fn is_single(&self) -> bool {
-        self.all.len() == 1
+        self.sources.len() == 1
     }
 
-    /// The source that is asked answered.
-    pub fn answered(&mut self) {
-        self.all.iter_mut().for_each(|source| source.failed = false);
-        self.all[self.at].rest = MIN_QUARANTINE;
+    /// Records a response of the current source.
+    pub fn on_response(&mut self) {
+        self.sources.iter_mut().for_each(|source| source.failed = false);
+        self.sources[self.current].quarantine = MIN_QUARANTINE;
     }
 
-    /// A call to the source that is asked failed, or was refused.
-    pub fn failed(&mut self, now: Duration, rng: &mut impl Rng) -> Fallback {
-        let source = &mut self.all[self.at];
+    /// Records a failed or rejected poll of the current source, and selects the next source.
+    pub fn on_failure(&mut self, now: Duration, rng: &mut impl Rng) -> Fallback {
+        let source = &mut self.sources[self.current];
         source.failed = true;
-        // By chance, so that those who left it together do not come back together.
-        source.quarantined_until = now + source.rest.mul_f64(0.5 + 0.5 * part(rng));
-        source.rest = (2 * source.rest).min(MAX_QUARANTINE);
-        let left = self.all.iter().any(|source| !source.failed);
-        if !left {
-            self.all.iter_mut().for_each(|source| source.failed = false);
+        // Randomized, so that clients that left the source together do not return together.
+        source.quarantined_until = now + source.quarantine.mul_f64(0.5 + 0.5 * random_fraction(rng));
+        source.quarantine = (2 * source.quarantine).min(MAX_QUARANTINE);
+        let any_left = self.sources.iter().any(|source| !source.failed);
+        if !any_left {
+            self.sources.iter_mut().for_each(|source| source.failed = false);
+        }
+        self.select(now, rng);
+        if any_left {
+            Fallback::NextSource(FAILOVER_SPREAD.mul_f64(random_fraction(rng)))
+        } else {
+            Fallback::AllFailed
         }
-        self.choose(now, rng);
-        if left { Fallback::Elsewhere(FAILOVER_SPREAD.mul_f64(part(rng))) } else { Fallback::NoneLeft }
     }
 
-    /// Near before far, rested before not, and among equals by chance. Where all are resting, the one that
-    /// has rested for longest.
-    fn choose(&mut self, now: Duration, rng: &mut impl Rng) {
+    /// Selects a source: prefers those that have not failed since the last response, then those not in
+    /// quarantine, then near ones, and picks at random among equals. If all are in quarantine, it takes the
+    /// one whose quarantine ends first.
+    fn select(&mut self, now: Duration, rng: &mut impl Rng) {
         let rank = |source: &Source| {
-            let resting = source.quarantined_until > now;
+            let is_quarantined = source.quarantined_until > now;
             (
                 source.failed,
-                resting,
-                if resting { source.quarantined_until } else { Duration::ZERO },
+                is_quarantined,
+                if is_quarantined { source.quarantined_until } else { Duration::ZERO },
                 source.far,
             )
         };
-        let best = self.all.iter().map(rank).min();
-        let equals: Vec<usize> = (0..self.all.len()).filter(|n| Some(rank(&self.all[*n])) == best).collect();
-        self.at = equals.get(below(equals.len(), rng)).copied().unwrap_or(self.at);
-        self.back_at = self.all[self.at].far.then(|| now + FAILBACK_AFTER.mul_f64(0.5 + 0.5 * part(rng)));
+        let best = self.sources.iter().map(rank).min();
+        let equals: Vec<usize> =
+            (0..self.sources.len()).filter(|index| Some(rank(&self.sources[*index])) == best).collect();
+        self.current = equals.get(random_index(equals.len(), rng)).copied().unwrap_or(self.current);
+        self.fail_back_at = self.sources[self.current]
+            .far
+            .then(|| now + FAILBACK_AFTER.mul_f64(0.5 + 0.5 * random_fraction(rng)));
     }
 
-    /// Whether it has gone back from a far source to a near one that has rested: asked before each call.
-    pub fn returns(&mut self, now: Duration, rng: &mut impl Rng) -> bool {
-        if self.back_at.is_none_or(|at| at > now) {
+    /// Returns from a far source to a near one that is not in quarantine, if it is time to try that. To be
+    /// called before each poll. Returns whether the source changed.
+    pub fn fail_back(&mut self, now: Duration, rng: &mut impl Rng) -> bool {
+        if self.fail_back_at.is_none_or(|at| at > now) {
             return false;
         }
-        let before = self.at;
-        let rested = self.all.iter().any(|source| !source.far && source.quarantined_until <= now);
-        if rested {
-            self.choose(now, rng);
+        let previous = self.current;
+        let near_available = self.sources.iter().any(|source| !source.far && source.quarantined_until <= now);
+        if near_available {
+            self.select(now, rng);
         } else {
-            self.back_at = Some(now + FAILBACK_AFTER.mul_f64(0.5 + 0.5 * part(rng)));
+            self.fail_back_at = Some(now + FAILBACK_AFTER.mul_f64(0.5 + 0.5 * random_fraction(rng)));
         }
-        self.at != before
+        self.current != previous
     }
 }
 
-/// From 0 to under 1.
-fn part(rng: &mut impl Rng) -> f64 {
+/// A random number in `0.0..1.0`.
+fn random_fraction(rng: &mut impl Rng) -> f64 {
     f64::from(rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
 }
 
-/// From 0 to under `most`; 0 where that is 0.
-fn below(most: usize, rng: &mut impl Rng) -> usize {
-    (part(rng) * most as f64) as usize
+/// A random number in `0..len`; 0 if `len` is 0.
+fn random_index(len: usize, rng: &mut impl Rng) -> usize {
+    (random_fraction(rng) * len as f64) as usize
 }
 
 #[cfg(test)]
--- a/discovery-proto/src/starts.rs
+++ b/discovery-proto/src/starts.rs
@@ -1,28 +1,30 @@
-//! When endpoints' processes started, on the caller's monotonic clock. Discovery tells it in Unix time, and
-//! the caller's wall clock may have been stepped: it is not asked. Where the age of a process is not known
-//! for certain the least that it can be is taken, so that the process is in slow start for longer rather than
-//! too short.
+//! Translates the start times of endpoints' processes to the caller's monotonic clock. Discovery gives them
+//! in Unix time. The caller's wall clock is not used for that, because it may have been stepped. If the age
+//! of a process is not known for certain, the smallest possible age is assumed, so that the process stays in
+//! slow start for too long rather than too short.
 
 use std::collections::HashMap;
 
 use balancer::{EndpointEntry, EndpointId, EndpointState, Millis};
 
-/// When an answer was received.
+/// When a response was received.
 #[derive(Clone, Copy, Debug)]
-pub struct Received {
+pub struct ReceivedAt {
     /// By the caller's monotonic clock.
-    pub at: Millis,
-    /// By discovery's own clock, in Unix milliseconds and at the earliest, if the answer says so.
-    pub discovery_time: Option<f64>,
+    pub local: Millis,
+    /// By discovery's own clock, in Unix milliseconds, if the response says so: the earliest possible time.
+    pub discovery_unix_ms: Option<f64>,
 }
 
-/// Start times that were translated, each kept until its endpoint is forgotten.
+/// Translated start times, each kept until its endpoint is forgotten.
 #[derive(Debug, Default)]
 pub(crate) struct StartTimes {
     known: HashMap<EndpointId, Start>,
-    /// Discovery's Unix time less the caller's clock, at least. Learnt until the first answer has been taken.
+    /// A lower bound of discovery's Unix time minus the caller's clock. Updated until the first response has
+    /// been translated.
     offset: Option<Millis>,
-    /// An answer has been taken, so that every start it does not tell is later.
+    /// Set once a response has been translated: a start time that first appears in a later response is then
+    /// that of a process that has just started.
     is_following: bool,
 }
 
@@ -33,14 +35,14 @@
 }
 
 impl StartTimes {
-    /// Translates the start times of what an answer says.
-    pub(crate) fn translate_answer(&mut self, entries: &mut [EndpointEntry], received: Received) {
+    /// Translates the start times in a response.
+    pub(crate) fn translate_response(&mut self, entries: &mut [EndpointEntry], received: ReceivedAt) {
         self.translate(entries, received);
         self.is_following = true;
     }
 
-    /// Translates those of a list from before this process, which may be old.
-    pub(crate) fn translate_known(&mut self, entries: &mut [EndpointEntry], received: Received) {
+    /// Translates the start times in a list cached by an earlier process, which may be old.
+    pub(crate) fn translate_cached(&mut self, entries: &mut [EndpointEntry], received: ReceivedAt) {
         self.translate(entries, received);
     }
 
@@ -48,9 +50,9 @@
         self.known.remove(&endpoint);
     }
 
-    fn translate(&mut self, entries: &mut [EndpointEntry], received: Received) {
+    fn translate(&mut self, entries: &mut [EndpointEntry], received: ReceivedAt) {
         if !self.is_following {
-            self.learn_offset(entries, received);
+            self.update_offset(entries, received);
         }
         for entry in entries {
             let Some(since_ms) = entry.started else {
@@ -59,7 +61,7 @@
                 }
                 continue;
             };
-            let started = self.started(entry.endpoint, since_ms, received.at);
+            let started = self.started(entry.endpoint, since_ms, received.local);
             entry.started = Some(started);
             if entry.phase != EndpointState::Removed {
                 self.known.insert(entry.endpoint, Start { since_ms, started });
@@ -67,31 +69,32 @@
         }
     }
 
-    /// The latest that the process can have started; the same each time for the same process.
+    /// The latest time at which the process can have started. The same process gets the same time in each
+    /// response.
     fn started(&self, endpoint: EndpointId, since_ms: f64, now: Millis) -> Millis {
         let known = self.known.get(&endpoint).filter(|start| start.since_ms == since_ms);
-        // Guards against a start in the future, which would keep the endpoint in slow start for longer than
-        // that lasts.
+        // Never in the future: that would keep the endpoint in slow start for longer than slow start lasts.
         let latest = known.map_or(now, |start| start.started);
         match self.offset {
-            // Guards against discovery's clock stepped back: what is told as new while its list is followed
-            // is new.
+            // Only for the first response. A start time that appears later is new even if discovery's clock
+            // was stepped back, so that its Unix time looks old.
             Some(offset) if !self.is_following => latest.min(since_ms - offset),
             _ => latest,
         }
     }
 
-    /// Discovery's clock is at least at what its answer says, or else at the newest start that it tells. One
-    /// start alone is not believed: the clock of the endpoint's machine may have been ahead.
-    fn learn_offset(&mut self, entries: &[EndpointEntry], received: Received) {
-        if let Some(time) = received.discovery_time {
-            self.offset = Some(time - received.at);
+    /// Discovery's clock has reached at least the time of its response, or else the newest start time in it.
+    /// A single newest start time is not trusted: the clock of that endpoint's machine may be ahead. So the
+    /// second newest counts.
+    fn update_offset(&mut self, entries: &[EndpointEntry], received: ReceivedAt) {
+        if let Some(unix_ms) = received.discovery_unix_ms {
+            self.offset = Some(unix_ms - received.local);
             return;
         }
         let mut starts: Vec<f64> = entries.iter().filter_map(|entry| entry.started).collect();
         starts.sort_by(|a, b| b.total_cmp(a));
-        if let Some(newest) = starts.get(1) {
-            let offset = newest - received.at;
+        if let Some(second_newest) = starts.get(1) {
+            let offset = second_newest - received.local;
             self.offset = Some(self.offset.map_or(offset, |known| known.max(offset)));
         }
     }
--- a/discovery-proto/src/starts/tests.rs
+++ b/discovery-proto/src/starts/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 const NOW: Millis = 50_000.0;
-const UNIX: f64 = 1_700_000_000_000.0;
+const UNIX_MS: f64 = 1_700_000_000_000.0;
 const HOUR: Millis = 3_600_000.0;
 
 fn entry(endpoint: u32, since_ms: f64) -> EndpointEntry {
@@ -17,82 +17,91 @@
     }
 }
 
-fn received(at: Millis) -> Received {
-    Received { at, discovery_time: None }
+fn received(local: Millis) -> ReceivedAt {
+    ReceivedAt { local, discovery_unix_ms: None }
 }
 
-/// The translated starts of an answer that names endpoints 0, 1, ... with these starts.
-fn answer(starts: &mut StartTimes, since_ms: &[f64], received: Received) -> Vec<Option<Millis>> {
+/// The translated start times of a response that lists endpoints 0, 1, ... with these start times.
+fn translate(starts: &mut StartTimes, since_ms: &[f64], received: ReceivedAt) -> Vec<Option<Millis>> {
     let mut entries: Vec<EndpointEntry> =
         (0..).zip(since_ms).map(|(endpoint, since)| entry(endpoint, *since)).collect();
-    starts.translate_answer(&mut entries, received);
+    starts.translate_response(&mut entries, received);
     entries.iter().map(|entry| entry.started).collect()
 }
 
-/// Guards against a discovery clock that is ahead or behind: what is told while the list is followed has just
-/// started, whatever its Unix time, and what is long ago stays so.
+/// If discovery's clock is wrong, the Unix time of a new process may look old or lie in the future. A start
+/// time that first appears after the first response counts as now, whatever its value.
 #[test]
-fn a_start_told_while_the_list_is_followed_is_from_then() {
-    for since in [UNIX, UNIX - HOUR, UNIX + HOUR] {
+fn start_in_later_response_counts_as_now() {
+    for since in [UNIX_MS, UNIX_MS - HOUR, UNIX_MS + HOUR] {
         let mut starts = StartTimes::default();
-        answer(&mut starts, &[0.0, UNIX - 9e3, UNIX - 9e3], received(NOW));
-        let told = answer(&mut starts, &[since, UNIX - 9e3, 0.0], received(NOW + 700.0));
-        assert_eq!(told, [Some(NOW + 700.0), Some(NOW), None], "{since}");
+        translate(&mut starts, &[0.0, UNIX_MS - 9e3, UNIX_MS - 9e3], received(NOW));
+        let translated = translate(&mut starts, &[since, UNIX_MS - 9e3, 0.0], received(NOW + 700.0));
+        assert_eq!(translated, [Some(NOW + 700.0), Some(NOW), None], "{since}");
     }
 }
 
-/// Guards against an endpoint that is taken for a new process each time it is named.
+/// If the same start time were translated differently each time, each response would make the endpoint look
+/// like a new process.
 #[test]
-fn the_same_start_is_translated_the_same_however_often_it_is_told() {
+fn repeated_start_translates_to_same_time() {
     let mut starts = StartTimes::default();
-    let told = answer(&mut starts, &[UNIX, UNIX - 3e3, UNIX], received(NOW));
-    assert_eq!(told, [Some(NOW), Some(NOW - 3e3), Some(NOW)]);
-    let late = Received { at: NOW + 40e3, discovery_time: Some(UNIX + HOUR) };
-    assert_eq!(answer(&mut starts, &[UNIX, UNIX - 3e3, UNIX], late), told, "repeated");
-    // Gone, with and without its start, and listed again.
+    let translated = translate(&mut starts, &[UNIX_MS, UNIX_MS - 3e3, UNIX_MS], received(NOW));
+    assert_eq!(translated, [Some(NOW), Some(NOW - 3e3), Some(NOW)]);
+    let later = ReceivedAt { local: NOW + 40e3, discovery_unix_ms: Some(UNIX_MS + HOUR) };
+    assert_eq!(translate(&mut starts, &[UNIX_MS, UNIX_MS - 3e3, UNIX_MS], later), translated, "repeated");
+    // Removed, with and without its start time, and listed again.
     let removed = |since_ms| EndpointEntry { phase: EndpointState::Removed, ..entry(1, since_ms) };
-    for since_ms in [0.0, UNIX - 3e3] {
-        starts.translate_answer(&mut [removed(since_ms)], received(NOW + 41e3));
+    for since_ms in [0.0, UNIX_MS - 3e3] {
+        starts.translate_response(&mut [removed(since_ms)], received(NOW + 41e3));
     }
-    assert_eq!(answer(&mut starts, &[UNIX, UNIX - 3e3], received(NOW + 42e3)), told[..2]);
+    assert_eq!(translate(&mut starts, &[UNIX_MS, UNIX_MS - 3e3], received(NOW + 42e3)), translated[..2]);
     // A new process.
-    let anew = answer(&mut starts, &[UNIX, UNIX + 1.0], received(NOW + 43e3));
-    assert_eq!(anew, [Some(NOW), Some(NOW + 43e3)]);
+    let restarted = translate(&mut starts, &[UNIX_MS, UNIX_MS + 1.0], received(NOW + 43e3));
+    assert_eq!(restarted, [Some(NOW), Some(NOW + 43e3)]);
 }
 
-/// Guards against a snapshot that is measured by the caller's wall clock: discovery says how late it is.
+/// The caller's wall clock may be wrong. The ages in the first full snapshot are measured against the time in
+/// discovery's own response.
 #[test]
-fn a_snapshot_is_measured_by_discoverys_own_time() {
-    let dated = Received { at: NOW, discovery_time: Some(UNIX) };
-    let since_ms = [UNIX - 8e3, UNIX - HOUR, UNIX + 400.0, UNIX + HOUR, 0.0];
-    let told = answer(&mut StartTimes::default(), &since_ms, dated);
-    assert_eq!(told, [Some(NOW - 8e3), Some(NOW - HOUR), Some(NOW), Some(NOW), None]);
+fn first_snapshot_uses_discovery_time() {
+    let dated = ReceivedAt { local: NOW, discovery_unix_ms: Some(UNIX_MS) };
+    let since_ms = [UNIX_MS - 8e3, UNIX_MS - HOUR, UNIX_MS + 400.0, UNIX_MS + HOUR, 0.0];
+    let translated = translate(&mut StartTimes::default(), &since_ms, dated);
+    assert_eq!(translated, [Some(NOW - 8e3), Some(NOW - HOUR), Some(NOW), Some(NOW), None]);
 }
 
-/// Guards against a snapshot without a date: the newest start that a second one bears out is the least that
-/// discovery's clock says, and what is not older than that has just started.
+/// Without a date, discovery's clock has reached at least the second newest start time in the response, and a
+/// process that is not older than that has just started.
 #[test]
-fn a_snapshot_without_a_date_is_measured_by_its_newest_starts() {
-    let told = answer(&mut StartTimes::default(), &[UNIX - 30e3, UNIX - 2e3, UNIX, 0.0], received(NOW));
-    assert_eq!(told, [Some(NOW - 28e3), Some(NOW), Some(NOW), None]);
-    assert_eq!(answer(&mut StartTimes::default(), &[UNIX - HOUR, 0.0], received(NOW)), [Some(NOW), None]);
-    // One machine whose clock is ahead makes nobody else warm.
-    let told = answer(&mut StartTimes::default(), &[UNIX, UNIX - 50.0, UNIX + HOUR], received(NOW));
-    assert_eq!(told, [Some(NOW), Some(NOW - 50.0), Some(NOW)]);
+fn undated_snapshot_uses_second_newest_start() {
+    let translated =
+        translate(&mut StartTimes::default(), &[UNIX_MS - 30e3, UNIX_MS - 2e3, UNIX_MS, 0.0], received(NOW));
+    assert_eq!(translated, [Some(NOW - 28e3), Some(NOW), Some(NOW), None]);
+    assert_eq!(
+        translate(&mut StartTimes::default(), &[UNIX_MS - HOUR, 0.0], received(NOW)),
+        [Some(NOW), None]
+    );
+    // A single machine whose clock is ahead does not make all others look warmed up.
+    let translated =
+        translate(&mut StartTimes::default(), &[UNIX_MS, UNIX_MS - 50.0, UNIX_MS + HOUR], received(NOW));
+    assert_eq!(translated, [Some(NOW), Some(NOW - 50.0), Some(NOW)]);
 }
 
-/// Guards against an old list that keeps endpoints in slow start: discovery's first answer tells how old they
-/// are, but nobody is in it for longer than from when it was first named.
+/// The start times of a cached list can only be taken as now, which puts every endpoint into slow start. The
+/// first response shows their true ages; but no endpoint's start is moved to later than when it was first
+/// listed.
 #[test]
-fn what_was_known_before_is_measured_anew_by_the_first_answer() {
+fn first_response_corrects_cached_starts() {
     let mut starts = StartTimes::default();
-    let mut known = [entry(0, UNIX), entry(1, UNIX), entry(2, UNIX)];
-    starts.translate_known(&mut known, received(NOW));
-    assert_eq!(known[0].started, Some(NOW));
-    let told = answer(&mut starts, &[UNIX, UNIX, UNIX + HOUR, UNIX + HOUR], received(NOW + 500.0));
-    let warm = Some(NOW + 500.0 - HOUR);
-    assert_eq!(told, [warm, warm, Some(NOW + 500.0), Some(NOW + 500.0)]);
+    let mut cached = [entry(0, UNIX_MS), entry(1, UNIX_MS), entry(2, UNIX_MS)];
+    starts.translate_cached(&mut cached, received(NOW));
+    assert_eq!(cached[0].started, Some(NOW));
+    let translated =
+        translate(&mut starts, &[UNIX_MS, UNIX_MS, UNIX_MS + HOUR, UNIX_MS + HOUR], received(NOW + 500.0));
+    let warmed_up = Some(NOW + 500.0 - HOUR);
+    assert_eq!(translated, [warmed_up, warmed_up, Some(NOW + 500.0), Some(NOW + 500.0)]);
     let mut starts = StartTimes::default();
-    starts.translate_known(&mut [entry(0, UNIX)], received(NOW));
-    assert_eq!(answer(&mut starts, &[UNIX], received(NOW + 500.0)), [Some(NOW)]);
+    starts.translate_cached(&mut [entry(0, UNIX_MS)], received(NOW));
+    assert_eq!(translate(&mut starts, &[UNIX_MS], received(NOW + 500.0)), [Some(NOW)]);
 }
--- a/discovery-proto/src/subscription.rs
+++ b/discovery-proto/src/subscription.rs
@@ -1,132 +1,145 @@
-//! A session and a reader together: an answer goes in, what it means for the decisions comes out.
+//! A [`Session`] and a [`ListReader`] together: responses go in, updates for the balancer come out.
 
 use balancer::{EndpointEntry, EndpointUpdate, Millis};
 use thiserror::Error;
 
-use crate::list::{EndpointList, EndpointLocations, Entries, ListReader};
-use crate::session::{Call, PollTiming, ResponseSummary, Session, Verdict};
-use crate::starts::Received;
+use crate::list::{EndpointList, EndpointLocations, ListReader, ParsedEntries};
+use crate::session::{PollRequest, PollTiming, ResponseSummary, Session, Verdict};
+use crate::starts::ReceivedAt;
 
-/// Why an answer that came whole is none.
+/// Why a complete response is not a usable endpoint list.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
-    /// It is no JSON, or lacks what every list has.
-    #[error("not a list: {0}")]
-    Form(#[from] serde_json::Error),
-    /// It would say of every endpoint that it is gone.
-    #[error("a whole list without one entry that can be read")]
-    Entries,
+    /// It is not JSON, or lacks a required field.
+    #[error("malformed endpoint list: {0}")]
+    Malformed(#[from] serde_json::Error),
+    /// A full snapshot none of whose entries is valid: applying it would remove every endpoint.
+    #[error("full snapshot without a single readable entry")]
+    NoReadableEntries,
 }
 
-/// What an answer says.
+/// The result of a response.
 #[derive(Debug)]
 pub enum ListResponse {
-    /// The list is of version `index` from now on.
+    /// The list, or the changes to it, were applied.
     Applied {
-        /// The version.
+        /// The version that the list has now.
         index: u64,
-        /// For the decisions; an empty list of changes where nothing is new.
-        news: EndpointUpdate,
-        /// Whether it had no entry, and came for a call that was to wait for one.
-        in_vain: bool,
+        /// The update for the balancer; an empty list of changes if nothing is new.
+        update: EndpointUpdate,
+        /// Whether the poll was a watch, or a resync that starts one, and its response has no entry.
+        empty_watch: bool,
     },
-    /// Nothing of it holds; the whole list is asked for next.
-    Doubtful {
-        /// The version that it named.
+    /// The response was ignored: its version does not fit the current list, or a change in it could not be
+    /// parsed. The next poll requests a full snapshot.
+    Rejected {
+        /// The version of the response.
         index: u64,
     },
 }
 
-/// Follows the list of one discovery. See the module documentation.
+/// Follows the endpoint list of one discovery. See the module documentation.
 pub struct Subscription<P> {
-    pace: PollTiming,
+    timing: PollTiming,
     session: Session,
     reader: ListReader<P>,
-    /// Why entries of the last answer were left out.
-    problems: Vec<String>,
+    /// Why entries of the last response were skipped.
+    entry_errors: Vec<String>,
 }
 
 impl<P: EndpointLocations> Subscription<P> {
-    /// Holds nothing yet.
-    pub fn new(pace: PollTiming, reader: ListReader<P>) -> Subscription<P> {
-        Subscription { pace, session: Session::new(pace, None), reader, problems: Vec::new() }
+    /// Starts without a list.
+    pub fn new(timing: PollTiming, reader: ListReader<P>) -> Subscription<P> {
+        Subscription { timing, session: Session::new(timing, None), reader, entry_errors: Vec::new() }
     }
 
-    /// Reads entries and has the connections follow them.
+    /// The reader, which has the endpoint IDs and the raw entries.
     pub fn reader(&self) -> &ListReader<P> {
         &self.reader
     }
 
-    /// The next call.
-    pub fn call(&self) -> Call {
-        self.session.call()
+    /// The next poll.
+    pub fn next_poll(&self) -> PollRequest {
+        self.session.next_poll()
     }
 
-    /// Takes in a list from before this process, at `now`. Its version is built on only if `resumes`; else
-    /// all is asked for.
-    pub fn known(&mut self, list: EndpointList, resumes: bool, now: Millis) -> Vec<EndpointEntry> {
-        self.session = Session::new(self.pace, Some(list.index).filter(|_| resumes));
-        let entries = self.read(list.endpoints);
-        let mut entries = self.reader.follow(entries, true);
-        self.reader.ids.translate_known(&mut entries, Received { at: now, discovery_time: None });
+    /// Restores a list cached by an earlier process. If `resume` is set, the next poll asks only for the
+    /// changes after its version, else for a full snapshot.
+    pub fn restore(&mut self, list: EndpointList, resume: bool, now: Millis) -> Vec<EndpointEntry> {
+        self.session = Session::new(self.timing, Some(list.index).filter(|_| resume));
+        let parsed = self.parse(list.endpoints);
+        let mut entries = self.reader.apply(parsed, true);
+        self.reader.ids.translate_cached(&mut entries, ReceivedAt { local: now, discovery_unix_ms: None });
         entries
     }
 
-    fn read(&mut self, endpoints: Vec<serde_json::Value>) -> Entries {
-        let mut entries = self.reader.read(endpoints);
-        self.problems = std::mem::take(&mut entries.problems);
-        entries
+    fn parse(&mut self, endpoints: Vec<serde_json::Value>) -> ParsedEntries {
+        let mut parsed = self.reader.parse(endpoints);
+        self.entry_errors = std::mem::take(&mut parsed.errors);
+        parsed
     }
 
-    /// Why entries of the last answer could not be read and were left out.
-    pub fn problems(&self) -> &[String] {
-        &self.problems
+    /// Why entries of the last response could not be parsed and were skipped.
+    pub fn entry_errors(&self) -> &[String] {
+        &self.entry_errors
     }
 
-    /// The whole list is wanted, whatever is held.
-    pub fn forget_version(&mut self) {
-        self.session = Session::new(self.pace, None);
+    /// Makes the next poll request a full snapshot.
+    pub fn request_full_snapshot(&mut self) {
+        self.session = Session::new(self.timing, None);
     }
 
-    /// Another source is asked for the same list: what it knows beyond what is held is asked for at once.
-    pub fn moved(&mut self) {
-        self.session.moved();
+    /// The next poll goes to another source of the same list. It is a resync, since that source may already
+    /// have newer changes.
+    pub fn source_changed(&mut self) {
+        self.session.source_changed();
     }
 
-    /// Another discovery is asked from now on, whose versions say nothing of those before.
-    pub fn replaced(&mut self) {
-        self.session.replaced();
+    /// The next poll goes to a different discovery, whose versions cannot be compared with those seen so far.
+    pub fn reset_versions(&mut self) {
+        self.session.reset_versions();
     }
 
-    /// The body of an answer to [`Subscription::call`] came whole. Its start times are translated to the
-    /// caller's clock.
+    /// Applies the complete body of the response to [`Subscription::next_poll`]. Start times in the update
+    /// are on the caller's clock.
     ///
     /// # Errors
-    /// Where it is no list. Then the call has failed, as [`Subscription::failed`] is to be told.
-    pub fn answered(&mut self, body: &[u8], received: Received) -> Result<ListResponse, EndpointListError> {
-        self.problems.clear();
-        let EndpointList { index, snapshot: whole, endpoints } = serde_json::from_slice(body)?;
-        let empty = endpoints.is_empty();
-        let entries = self.read(endpoints);
-        let (read, unreadable) = (entries.read.len(), self.problems.len());
-        // Guards against a whole list that is no good: it says of no endpoint that it is gone.
-        if whole && !empty && read == 0 {
-            return Err(EndpointListError::Entries);
+    /// If it is not a usable list. The poll has failed then, and the caller must report that to
+    /// [`Subscription::on_failure`].
+    pub fn on_response(
+        &mut self,
+        body: &[u8],
+        received: ReceivedAt,
+    ) -> Result<ListResponse, EndpointListError> {
+        self.entry_errors.clear();
+        let EndpointList { index, snapshot: full_snapshot, endpoints } = serde_json::from_slice(body)?;
+        let is_empty = endpoints.is_empty();
+        let parsed = self.parse(endpoints);
+        let (readable, unreadable) = (parsed.entries.len(), self.entry_errors.len());
+        // Applying a full snapshot without any valid entry would remove every endpoint.
+        if full_snapshot && !is_empty && readable == 0 {
+            return Err(EndpointListError::NoReadableEntries);
         }
-        let waited = !self.session.call().wait.is_zero();
-        if self.session.answered(ResponseSummary { index, whole, read, unreadable }) == Verdict::Doubtful {
-            return Ok(ListResponse::Doubtful { index });
+        let waited = !self.session.next_poll().wait.is_zero();
+        if self.session.on_response(ResponseSummary { index, full_snapshot, readable, unreadable })
+            == Verdict::Rejected
+        {
+            return Ok(ListResponse::Rejected { index });
         }
-        let mut entries = self.reader.follow(entries, whole);
-        self.reader.ids.translate_answer(&mut entries, received);
-        let news =
-            if whole { EndpointUpdate::FullSnapshot(entries) } else { EndpointUpdate::Changes(entries) };
-        Ok(ListResponse::Applied { index, news, in_vain: empty && waited })
+        let mut entries = self.reader.apply(parsed, full_snapshot);
+        self.reader.ids.translate_response(&mut entries, received);
+        let update = if full_snapshot {
+            EndpointUpdate::FullSnapshot(entries)
+        } else {
+            EndpointUpdate::Changes(entries)
+        };
+        Ok(ListResponse::Applied { index, update, empty_watch: is_empty && waited })
     }
 
-    /// The call failed, was refused, was given up, or (`spoilt`) had an answer that is no list. The pause
-    /// from here is for who decides about it.
-    pub fn failed(&mut self, spoilt: bool) -> std::time::Duration {
-        self.session.failed(spoilt)
+    /// Records a poll that failed, was rejected or timed out, or whose response was not a valid list
+    /// (`invalid_response`). Returns the backoff before the next poll, for callers that have no backoff of
+    /// their own.
+    pub fn on_failure(&mut self, invalid_response: bool) -> std::time::Duration {
+        self.session.on_failure(invalid_response)
     }
 }
--- a/discovery-relay/src/catalog.rs
+++ b/discovery-relay/src/catalog.rs
@@ -30,7 +30,7 @@
     pub index: u64,
     /// It is the whole list.
     pub whole: bool,
-    /// Entries that could not be read.
+    /// ParsedEntries that could not be read.
     pub unreadable: usize,
     entries: Vec<Entry>,
 }
@@ -53,12 +53,12 @@
         let entries: Vec<Entry> = endpoints.iter().filter_map(|raw| Entry::read(raw.get())).collect();
         let unreadable = endpoints.len() - entries.len();
         if whole && unreadable > 0 && entries.is_empty() {
-            return Err(EndpointListError::Entries);
+            return Err(EndpointListError::NoReadableEntries);
         }
         Ok(Update { index, whole, unreadable, entries })
     }
 
-    /// Entries that could be read.
+    /// ParsedEntries that could be read.
     pub fn readable(&self) -> usize {
         self.entries.len()
     }
--- a/discovery-relay/src/catalog/tests.rs
+++ b/discovery-relay/src/catalog/tests.rs
@@ -213,10 +213,10 @@
     let mixed = update(11, false, &[&odd[..], &serving(&["shop-2"])].concat());
     assert_eq!((mixed.readable(), mixed.unreadable), (1, 4));
     for text in ["", "{", "{}", r#"{"index":1}"#, r#"{"index":-1,"endpoints":[]}"#] {
-        assert!(matches!(Update::read(text.as_bytes()), Err(EndpointListError::Form(_))), "{text}");
+        assert!(matches!(Update::read(text.as_bytes()), Err(EndpointListError::Malformed(_))), "{text}");
     }
     let none = format!(r#"{{"index":1,"snapshot":true,"endpoints":[{}]}}"#, odd[0]);
-    assert!(matches!(Update::read(none.as_bytes()), Err(EndpointListError::Entries)));
+    assert!(matches!(Update::read(none.as_bytes()), Err(EndpointListError::NoReadableEntries)));
     // An answer of the other side is read back as it was written, its unknown fields too.
     let extra = r#"{"name":"shop-7","status":"SERVING","shard":7}"#.to_owned();
     let mut catalog = holding(&["till-1"]);
--- a/discovery-relay/src/upstream.rs
+++ b/discovery-relay/src/upstream.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use discovery_client::{
-    CallError, DiscoveryConnection, DiscoveryResponse, age, dial, exchange, list_request,
+    DiscoveryConnection, DiscoveryResponse, PollError, age, dial, exchange, list_request,
 };
 use discovery_proto::{Fallback, PollTiming, ResponseSummary, Session, Sources, Verdict};
 use hyper::header::{DATE, HeaderValue};
@@ -88,11 +88,11 @@
     }
 
     /// One call and what it tells.
-    async fn next(&mut self) -> Result<(), CallError> {
-        if self.sources.returns(self.began.elapsed(), &mut self.rng) {
+    async fn next(&mut self) -> Result<(), PollError> {
+        if self.sources.fail_back(self.began.elapsed(), &mut self.rng) {
             self.link = None;
         }
-        let call = self.session.call();
+        let call = self.session.next_poll();
         let asked = Instant::now();
         // Guards against a dead or silent link: whatever fails, the next call begins with a new one.
         let link = self.link.take();
@@ -100,14 +100,21 @@
         let host = address.to_string().parse().expect("an address is a header value");
         let request = list_request(host, &call.path());
         let exchanged = exchange(link, dial(address, CONNECT_TIMEOUT), request, MAX_LIST_LENGTH);
-        let DiscoveryResponse { link, headers, body } = timeout(call.within, exchanged).await??;
+        let DiscoveryResponse { connection: link, headers, body } =
+            timeout(call.timeout, exchanged).await??;
         let update = Update::read(&body)?;
         let waited = !call.wait.is_zero();
         let (index, whole, read, unreadable) =
             (update.index, update.whole, update.readable(), update.unreadable);
         self.link = Some(link);
-        self.sources.answered();
-        if self.session.answered(ResponseSummary { index, whole, read, unreadable }) == Verdict::Doubtful {
+        self.sources.on_response();
+        if self.session.on_response(ResponseSummary {
+            index,
+            full_snapshot: whole,
+            readable: read,
+            unreadable,
+        }) == Verdict::Rejected
+        {
             eprintln!("relay: version {index} does not follow what is held: asking for all of it");
             sleep(MIN_POLL_INTERVAL).await;
             return Ok(());
@@ -117,7 +124,7 @@
             eprintln!(
                 "relay: version {index} would take out most of what is held: asking for all of it again"
             );
-            self.session.doubt();
+            self.session.request_full_snapshot();
             sleep(CONFIRMATION_DELAY).await;
             return Ok(());
         }
@@ -136,21 +143,21 @@
     }
 
     /// Says so once, however long it lasts; the pause before the next call.
-    fn failed(&mut self, error: &CallError) -> Duration {
+    fn failed(&mut self, error: &PollError) -> Duration {
         if !self.failing {
             self.failing = true;
             eprintln!("relay: {}: {error}", self.sources.address());
         }
-        let pause = self.session.failed(error.is_spoilt());
+        let pause = self.session.on_failure(error.is_invalid_response());
         // Guards against sources that are left alone for up to a minute because this process lacks a
         // descriptor.
         if error.is_local() {
             return pause.min(LOCAL_BACKOFF);
         }
-        match self.sources.failed(self.began.elapsed(), &mut self.rng) {
+        match self.sources.on_failure(self.began.elapsed(), &mut self.rng) {
             // Relays are few: they need not be spread as client proxies are.
-            Fallback::Elsewhere(spread) => spread.min(pause),
-            Fallback::NoneLeft => pause,
+            Fallback::NextSource(spread) => spread.min(pause),
+            Fallback::AllFailed => pause,
         }
     }
 }
--- a/discovery-relay/src/upstream/tests.rs
+++ b/discovery-relay/src/upstream/tests.rs
@@ -25,7 +25,7 @@
     for code in [4, 11, 12, 23, 24, 99, 105] {
         let mut upstream = upstream();
         for _ in 0..20 {
-            let error = CallError::from(io::Error::from_raw_os_error(code));
+            let error = PollError::from(io::Error::from_raw_os_error(code));
             let pause = upstream.failed(&error);
             assert!(!pause.is_zero() && pause <= LOCAL_BACKOFF, "{error}: {pause:?}");
             assert_eq!(upstream.sources.address().to_string(), NEAR, "{error}");
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -9,8 +9,8 @@
 
 use balancer::{Action, Balancer, EndpointId, EndpointUpdate, Event, Locality, Millis, Settings};
 use discovery_proto::{
-    Call, EndpointIds, EndpointList, EndpointListError, EndpointLocation, EndpointLocations, ListReader,
-    ListResponse, PollTiming, Received, Subscription,
+    EndpointIds, EndpointList, EndpointListError, EndpointLocation, EndpointLocations, ListReader,
+    ListResponse, PollRequest, PollTiming, ReceivedAt, Subscription,
 };
 use rand_core::Rng;
 use rand_pcg::Pcg32;
@@ -32,11 +32,11 @@
 pub struct Held(RefCell<HashMap<EndpointId, EndpointLocation>>);
 
 impl EndpointLocations for Held {
-    fn known(&self) -> Vec<EndpointId> {
+    fn endpoint_ids(&self) -> Vec<EndpointId> {
         self.0.borrow().keys().copied().collect()
     }
 
-    fn place(&self, endpoint: EndpointId, place: EndpointLocation) {
+    fn set_location(&self, endpoint: EndpointId, place: EndpointLocation) {
         self.0.borrow_mut().insert(endpoint, place);
     }
 
@@ -94,7 +94,7 @@
             kinds: names("k", KINDS),
             endpoints: Rc::default(),
             ids: Rc::<EndpointIds>::default(),
-            listed: None,
+            raw_entries: None,
         };
         Ok(Hollow {
             balancer,
@@ -107,13 +107,13 @@
     /// Begins, with what is known from before, if anything. A list from before is built on, as the program does where lists
     /// are asked for: it then only asks for what is new.
     pub fn start(&mut self, now: Millis, known: Option<EndpointList>, todo: &mut Vec<Todo>) {
-        let entries = known.map(|list| self.follower.known(list, true, now)).unwrap_or_default();
+        let entries = known.map(|list| self.follower.restore(list, true, now)).unwrap_or_default();
         self.feed(now, Event::Endpoints(EndpointUpdate::CachedSnapshot(entries)), todo);
     }
 
     /// The call that is to be made next.
-    pub fn call(&self) -> Call {
-        self.follower.call()
+    pub fn call(&self) -> PollRequest {
+        self.follower.next_poll()
     }
 
     /// The body of an answer came whole, to a call that was made at `asked`. Gives the version that is held by now.
@@ -127,14 +127,14 @@
         body: &[u8],
         todo: &mut Vec<Todo>,
     ) -> Result<Option<u64>, EndpointListError> {
-        match self.follower.answered(body, Received { at: now, discovery_time: None }) {
-            Ok(ListResponse::Applied { index, news, in_vain }) => {
+        match self.follower.on_response(body, ReceivedAt { local: now, discovery_unix_ms: None }) {
+            Ok(ListResponse::Applied { index, update: news, empty_watch: in_vain }) => {
                 self.feed(now, Event::Endpoints(news), todo);
                 let after = if in_vain && now - asked < BREATH { BREATH } else { 0.0 };
                 todo.push(Todo::Call { after });
                 Ok(Some(index))
             }
-            Ok(ListResponse::Doubtful { .. }) => {
+            Ok(ListResponse::Rejected { .. }) => {
                 todo.push(Todo::Call { after: BREATH });
                 Ok(None)
             }
@@ -148,7 +148,7 @@
     /// The call failed, or was given up.
     pub fn failed(&mut self, now: Millis, spoilt: bool, todo: &mut Vec<Todo>) {
         // How long to pause is for the decisions: lists are asked for here.
-        let _ = self.follower.failed(spoilt);
+        let _ = self.follower.on_failure(spoilt);
         self.feed(now, Event::Endpoints(EndpointUpdate::Failed), todo);
     }
 
@@ -171,7 +171,7 @@
             match action {
                 Action::Watch => todo.push(Todo::Call { after: 0.0 }),
                 Action::Fetch => {
-                    self.follower.forget_version();
+                    self.follower.request_full_snapshot();
                     todo.push(Todo::Call { after: 0.0 });
                 }
                 Action::Timer { at, token } => {
@@ -183,7 +183,7 @@
                     }
                     todo.push(Todo::Timer { at, token });
                 }
-                Action::Forget { endpoint } => self.follower.reader().ids.forget(endpoint),
+                Action::Forget { endpoint } => self.follower.reader().ids.release(endpoint),
                 // Nobody sends anything, so there is nothing else to do.
                 _ => {}
             }
--- a/testbed/src/scale/hollow/tests.rs
+++ b/testbed/src/scale/hollow/tests.rs
@@ -22,7 +22,7 @@
     assert_eq!(hollow.answered(9.0, 1.0, whole.as_bytes(), &mut todo).expect("a list"), Some(4));
     assert_eq!(todo, [Todo::Call { after: 0.0 }]);
     assert_eq!((hollow.call().after, hollow.call().wait.is_zero()), (Some(4), false));
-    assert_eq!(hollow.follower.reader().endpoints.known().len(), 3);
+    assert_eq!(hollow.follower.reader().endpoints.endpoint_ids().len(), 3);
     todo.clear();
     hollow.failed(20.0, false, &mut todo);
     let [Todo::Timer { at, token }] = todo[..] else { panic!("{todo:?}") };
@@ -70,13 +70,13 @@
     let (mut hollow, mut todo) = started(Looks::LeftOut);
     hollow.answered(1.0, 0.0, list(1, true, &entries(500)).as_bytes(), &mut todo).expect("a list");
     assert_eq!(
-        (hollow.follower.problems().len(), hollow.follower.reader().endpoints.known().len()),
+        (hollow.follower.entry_errors().len(), hollow.follower.reader().endpoints.endpoint_ids().len()),
         (0, 500)
     );
     let gone = list(2, false, &[entry(17, 5, "DELETED"), entry(18, 5, "DRAINING")]);
     hollow.answered(1.0, 0.0, gone.as_bytes(), &mut todo).expect("a list");
     assert_eq!(
-        (hollow.follower.problems().len(), hollow.follower.reader().endpoints.known().len()),
+        (hollow.follower.entry_errors().len(), hollow.follower.reader().endpoints.endpoint_ids().len()),
         (0, 499)
     );
 }
--- a/testbed/src/scale/relay/watchers.rs
+++ b/testbed/src/scale/relay/watchers.rs
@@ -9,7 +9,7 @@
 use std::{io, mem};
 
 use discovery_client::{
-    CallError, DiscoveryConnection, DiscoveryResponse, exchange, handshake, list_request,
+    DiscoveryConnection, DiscoveryResponse, PollError, exchange, handshake, list_request,
 };
 use discovery_proto::{EndpointListError, Fallback, PollTiming, ResponseSummary, Session, Sources, Verdict};
 use hyper::StatusCode;
@@ -199,25 +199,26 @@
     let (mut session, mut link, mut last) =
         (Session::new(PollTiming::DIRECT, None), None::<DiscoveryConnection>, None);
     loop {
-        if sources.returns(began.elapsed(), &mut rng) {
+        if sources.fail_back(began.elapsed(), &mut rng) {
             link = None;
-            session.moved();
+            session.source_changed();
         }
-        let (call, relay) = (session.call(), sources.address());
+        let (call, relay) = (session.next_poll(), sources.address());
         let request = list_request(host.clone(), &call.path());
         let exchanged = exchange(link.take(), dial(relay, &counters), request, LIST_MOST);
-        let answered = timeout(call.within, exchanged).await.unwrap_or_else(|late| Err(late.into()));
-        let read = answered.and_then(|DiscoveryResponse { link, body, .. }| {
+        let answered = timeout(call.timeout, exchanged).await.unwrap_or_else(|late| Err(late.into()));
+        let read = answered.and_then(|DiscoveryResponse { connection: link, body, .. }| {
             let list = serde_json::from_slice::<EndpointList>(&body).map_err(EndpointListError::from)?;
             Ok((link, list))
         });
         match read {
             Ok((used, EndpointList { index, snapshot: whole, endpoints })) => {
                 link = Some(used);
-                sources.answered();
+                sources.on_response();
                 counters.calls.fetch_add(1, Ordering::Relaxed);
-                let told = ResponseSummary { index, whole, read: endpoints.len(), unreadable: 0 };
-                if session.answered(told) == Verdict::Doubtful {
+                let told =
+                    ResponseSummary { index, full_snapshot: whole, readable: endpoints.len(), unreadable: 0 };
+                if session.on_response(told) == Verdict::Rejected {
                     shared.doubted.fetch_add(1, Ordering::Relaxed);
                     sleep(BREATH).await;
                     continue;
@@ -230,14 +231,14 @@
                 }
             }
             Err(failed) => {
-                let refused = matches!(failed, CallError::Status(StatusCode::SERVICE_UNAVAILABLE));
+                let refused = matches!(failed, PollError::Status(StatusCode::SERVICE_UNAVAILABLE));
                 let count = if refused { &shared.refused } else { &shared.failed };
                 count.fetch_add(1, Ordering::Relaxed);
                 // How long to pause is for the relays' choice, or for the decisions.
-                let _ = session.failed(failed.is_spoilt());
-                let pause = match sources.failed(began.elapsed(), &mut rng) {
-                    Fallback::Elsewhere(pause) => pause,
-                    Fallback::NoneLeft => PAUSE_MOST.mul_f64(unit(&mut rng)),
+                let _ = session.on_failure(failed.is_invalid_response());
+                let pause = match sources.on_failure(began.elapsed(), &mut rng) {
+                    Fallback::NextSource(pause) => pause,
+                    Fallback::AllFailed => PAUSE_MOST.mul_f64(unit(&mut rng)),
                 };
                 sleep(pause).await;
             }
@@ -245,7 +246,7 @@
     }
 }
 
-async fn dial(relay: SocketAddr, counters: &Arc<Counters>) -> Result<DiscoveryConnection, CallError> {
+async fn dial(relay: SocketAddr, counters: &Arc<Counters>) -> Result<DiscoveryConnection, PollError> {
     let stream = timeout(DIAL_WITHIN, TcpStream::connect(relay)).await??;
     stream.set_nodelay(true)?;
     let (up, down) = (Arc::clone(counters), Arc::clone(counters));
--- a/testbed/src/scale/virtual_fleet.rs
+++ b/testbed/src/scale/virtual_fleet.rs
@@ -215,7 +215,7 @@
         if self.down {
             return self.timeline.after(WAY, What::Fail(id));
         }
-        self.timeline.after(call.within.as_secs_f64() * 1e3, What::GiveUp(id));
+        self.timeline.after(call.timeout.as_secs_f64() * 1e3, What::GiveUp(id));
         self.queue(Job::TakeIn(id));
     }
 
--- a/testbed/src/scale/watchers.rs
+++ b/testbed/src/scale/watchers.rs
@@ -389,11 +389,11 @@
         let exchanged = exchange(link.take(), dial(board.address, DIAL_WITHIN), request, LIST_MOST);
         let made = async {
             tokio::select! {
-                made = timeout(call.within, exchanged) => made.ok()?.ok(),
+                made = timeout(call.timeout, exchanged) => made.ok()?.ok(),
                 _ = breaks.changed() => None,
             }
         };
-        let Some(DiscoveryResponse { link: kept, body, .. }) = made.await else {
+        let Some(DiscoveryResponse { connection: kept, body, .. }) = made.await else {
             board.failed.set(board.failed.get() + 1);
             hollow.failed(board.now(), false, &mut todo);
             continue;
