--- a/balancer/src/interface.rs
+++ b/balancer/src/interface.rs
@@ -1,4 +1,5 @@
-//! What goes into and comes out of the balancer: settings, events and actions. Nothing here decides anything.
+//! The public interface of the balancer: settings and events are its input, actions its output. The decisions
+//! themselves are in `logic`.
 
 mod action;
 mod event;
@@ -15,28 +16,28 @@
     Settings, SettingsError, Tenant, Weights,
 };
 
-/// A span of time, or a reading of the caller's clock, in milliseconds.
+/// A duration, or a point in time on the caller's clock, in milliseconds.
 ///
-/// The clock may start anywhere but must never run backwards.
+/// The clock must be monotonic; its origin does not matter.
 pub type Millis = f64;
 
-/// Identifies a request for as long as the caller keeps it; never used twice by one balancer.
+/// Identifies a request. The caller chooses it and never reuses one with the same balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Identifies an endpoint. It outlives restarts of the endpoint's process.
+/// Identifies an endpoint; it stays the same when the endpoint's process restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
-/// A zone that is ejected: it gets nothing but trial requests.
+/// A zone that is ejected: it receives nothing but trial requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EjectedZone {
     /// Index of the zone.
     pub zone: usize,
-    /// When it was ejected.
+    /// When it was ejected, on the caller's clock.
     pub since: Millis,
-    /// Its endpoints did not respond; otherwise connections to them failed.
+    /// True if attempts to its endpoints got no response in time; false if connections to them failed.
     pub silent: bool,
-    /// All zones are ejected but, at most, the own one: the fault may lie in this balancer's own network.
+    /// All zones, or all but the balancer's own, are ejected: the fault may lie in the balancer's own network.
     pub own_network: bool,
 }
--- a/balancer/src/interface/action.rs
+++ b/balancer/src/interface/action.rs
@@ -1,17 +1,17 @@
-//! Actions: what the balancer wants done.
+//! Actions: the output of the balancer.
 
 use super::{EndpointId, Millis, RequestId};
 
-/// Something to be done at once, in the order given.
+/// An instruction to the caller, to be carried out at once and in the order received.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt; the attempts of one request are numbered 0, 1, 2, ... in this order.
+    /// Start an attempt. The attempts of a request are numbered 0, 1, 2, ... in the order of their `Send` actions.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Timeout of the attempt; `None` means the client's deadline.
+        /// Timeout of the attempt; `None` means that only the client's deadline limits it.
         timeout: Option<Millis>,
     },
     /// Cancel an attempt.
@@ -21,23 +21,23 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final response: rejected, and retrying does no harm.
+    /// Send the client its final response: the request was rejected, and retrying it is harmless.
     Refuse {
         /// The request.
         id: RequestId,
-        /// `Retry-After` for the client.
+        /// Value of the `Retry-After` header; `None` for no such header.
         retry_after: Option<Millis>,
     },
-    /// Final response: failed, which promises nothing about its effect.
+    /// Send the client its final response: the request failed, and it may or may not have taken effect.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Report [`Event::Timer`](super::Event::Timer) at this time or soon after.
+    /// Deliver [`Event::TimerFired`](super::Event::TimerFired) at this time or soon after.
     Timer {
-        /// When, on the caller's clock.
+        /// When the timer is due, on the caller's clock.
         at: Millis,
-        /// To be passed back with the event.
+        /// Returned with the event.
         token: u64,
     },
     /// Send a health check to an endpoint.
@@ -52,20 +52,20 @@
     },
     /// Send a message to another balancer, or to all of them.
     SendToPeer {
-        /// Number of the balancer; `None` for all.
+        /// Index of the balancer; `None` for all of them.
         to: Option<u32>,
-        /// At most 256 bytes.
+        /// The message, at most 256 bytes.
         content: Vec<u8>,
     },
-    /// Nothing is remembered any more of an endpoint that discovery removed: its identifier may be released.
+    /// Release the identifier of an endpoint that discovery removed: the balancer no longer refers to it.
     Forget {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Subscribe to changes of the endpoint list from now on.
+    /// Subscribe to changes of the endpoint list.
     Watch,
     /// Poll discovery for the full endpoint list once.
     Fetch,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/balancer/src/interface/event.rs
+++ b/balancer/src/interface/event.rs
@@ -1,13 +1,13 @@
-//! Events: what happens to requests, attempts, endpoints and timers.
+//! Events: what the caller reports about requests, attempts, endpoints and timers.
 
 use super::{EndpointId, Millis, RequestId};
 
-/// State of an endpoint, as discovery has it.
+/// State of an endpoint according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It serves.
+    /// It accepts requests.
     Up,
-    /// It completes the work it has and takes no more.
+    /// It completes the requests it has and accepts no new ones.
     Draining,
     /// It was removed from the list.
     Removed,
@@ -16,114 +16,115 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
     /// Index of its zone.
     pub zone: usize,
     /// Index of its kind.
     pub kind: usize,
-    /// Its cell: a few endpoints that share which idempotency keys they have seen.
+    /// Its cell: a few endpoints that share their record of the idempotency keys they have seen.
     pub cell: u32,
-    /// Its weight against other endpoints; [`Weights`](super::Weights) says what it stands for.
+    /// Its weight relative to other endpoints; see [`WeightBasis`](super::WeightBasis) for its meaning.
     pub weight: f64,
-    /// When its process last started, on the caller's clock; `None` if that is long ago.
+    /// When its process last started, on the caller's clock; `None` if so long ago that slow start is over.
     pub started: Option<Millis>,
     /// Its state.
     pub phase: EndpointState,
 }
 
 impl EndpointEntry {
-    /// An endpoint that has served for long, alike any other.
+    /// An endpoint that is up and warmed up, with zone 0, kind 0, cell 0 and weight 1.
     pub fn new(endpoint: EndpointId) -> EndpointEntry {
         let (started, phase) = (None, EndpointState::Up);
         EndpointEntry { endpoint, zone: 0, kind: 0, cell: 0, weight: 1.0, started, phase }
     }
 }
 
-/// What discovery has said of the endpoint list.
+/// An update of the endpoint list from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
     /// The entries that changed.
     Changes(Vec<EndpointEntry>),
-    /// The full list; an endpoint that is absent from it was removed.
+    /// The full list. Endpoints that are absent from it were removed.
     FullSnapshot(Vec<EndpointEntry>),
-    /// The full list as it was last known before a restart; it may be out of date.
+    /// The full list that was cached before a restart of the client proxy; it may be stale.
     CachedSnapshot(Vec<EndpointEntry>),
-    /// A watch or poll failed, or the watch broke off.
+    /// A watch or poll failed, or an established watch was interrupted.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint served it.
+    /// The endpoint served the request.
     Served,
-    /// The endpoint responded with an error; the request may have run.
+    /// The endpoint responded with an error; the request may have been executed.
     Error,
-    /// The endpoint rejected it: it did not run.
+    /// The endpoint rejected the request without executing it.
     Rejected,
-    /// No response in time; it may have run, or be running.
+    /// No response in time; the request may have been executed, or may still be running.
     TimedOut,
-    /// No connection was established: it did not run.
+    /// No connection could be established: the request was not executed.
     ConnectFailed,
-    /// The connection was reset; it may have run.
+    /// The connection was reset; the request may have been executed.
     Reset,
-    /// It was cancelled; it may have run.
+    /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// It was never sent.
+    /// No byte of the request was sent.
     NeverSent,
-    /// An outcome that this version does not know.
+    /// An outcome that this version does not recognise.
     Unknown,
 }
 
-/// The load that an endpoint reports of itself; each value may be missing.
+/// The load that an endpoint reports about itself; each value may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests being handled.
+    /// Requests being processed.
     pub outstanding: Option<f64>,
     /// Requests queued.
     pub backlog: Option<f64>,
-    /// The part of its CPU in use, 0 to 1.
+    /// Its CPU utilization, 0 to 1.
     pub utilization: Option<f64>,
     /// Its recent service time in milliseconds.
     pub recent_ms: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub throughput: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors_per_s: Option<f64>,
 }
 
-/// What is known of a request by its head.
+/// What the head of a request says about it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMetadata {
     /// Its class, as an index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
     /// Its tenant, as an index into [`Settings::tenants`](super::Settings::tenants).
     pub tenant: usize,
-    /// It is marked as a client's retry.
+    /// The client marked it as a retry.
     pub is_retry: bool,
-    /// It writes to what endpoints store.
+    /// It modifies data that the endpoints store.
     pub update: bool,
-    /// The expected work, as milliseconds on a standard core.
+    /// Its expected cost, in milliseconds on a reference core.
     pub size_hint: Option<f64>,
-    /// The key of the object that it is about.
+    /// Key of the object that it concerns, for key affinity.
     pub key: Option<String>,
 }
 
-/// A request that a client has sent.
+/// A request from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Its identifier, never used before.
+    /// Its identifier, not used before.
     pub id: RequestId,
-    /// How long the client waits for this try, from now on.
+    /// How long the client waits for the response to this request, from now on.
     pub patience: Millis,
-    /// Its body is still being received and is streamed on, so it can be sent only once. [`Event::BodyComplete`] follows.
+    /// Its body is still being received and is forwarded as it arrives, so the request can be sent only once.
+    /// [`Event::BodyComplete`] follows.
     pub body_pending: bool,
-    /// What its head says.
+    /// Its class, tenant and other properties.
     pub metadata: RequestMetadata,
 }
 
-/// The end of an attempt; every attempt has exactly one.
+/// The end of an attempt. The caller reports exactly one for each attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// The request.
@@ -132,31 +133,31 @@
     pub attempt: u32,
     /// How it ended.
     pub outcome: Outcome,
-    /// How long after it was sent.
+    /// Time since the attempt was sent.
     pub latency: Millis,
-    /// The request has its final response, by this outcome or from before.
+    /// The client already has its final response, from this attempt or an earlier one.
     pub ended: bool,
     /// The load that the endpoint reported with its response.
     pub report: LoadReport,
-    /// The request cannot be sent again: a part of its body was sent that is no longer buffered.
+    /// The request cannot be sent again: a part of its body was sent and is no longer buffered.
     pub cannot_resend: bool,
 }
 
-/// Something that happened.
+/// An input of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Discovery has said something of the endpoint list.
+    /// Discovery sent an update of the endpoint list, or could not be reached.
     Endpoints(EndpointUpdate),
-    /// A client sent a request, which is owed one final response from now on.
+    /// A client sent a request. The balancer must send exactly one final response to it.
     Request(NewRequest),
     /// The last byte of a request with a pending body has been received.
     BodyComplete {
         /// The request.
         id: RequestId,
-        /// How long the client waits from now on.
+        /// How long the client waits for the response, from now on.
         patience: Millis,
     },
-    /// The response to an attempt of a streamed class has begun.
+    /// The first byte of the response to an attempt of a streamed class has been received.
     FirstByte {
         /// The request.
         id: RequestId,
@@ -165,32 +166,34 @@
     },
     /// An attempt has ended.
     Finished(AttemptEnd),
-    /// The client has gone; no response is owed any more.
+    /// The client disconnected; no final response must be sent any more.
     ClientGone {
         /// The request.
         id: RequestId,
     },
-    /// The client has closed its sending side: no attempt begins for it any more, but it may still read a
-    /// response.
+    /// The client closed its sending side. It may have disconnected, so no further attempt starts; a response to
+    /// an attempt in flight can still be delivered.
     ClientClosed {
         /// The request.
         id: RequestId,
     },
-    /// An operator disables an endpoint: it counts as draining until it is enabled, whatever the list says.
+    /// An operator disabled an endpoint: it counts as draining until it is enabled, whatever the endpoint list
+    /// says.
     Disabled {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// An operator enables an endpoint; its process may have been restarted since it was disabled.
+    /// An operator enabled an endpoint. Its process may have been restarted since it was disabled, so it goes
+    /// through slow start.
     Enabled {
         /// The endpoint.
         endpoint: EndpointId,
         /// When it was enabled, on the caller's clock.
         at: Millis,
     },
-    /// A timer requested with [`Action::Timer`](super::Action::Timer) is due.
+    /// A timer set with [`Action::SetTimer`](super::Action::SetTimer) is due.
     Timer {
-        /// The token given with it.
+        /// The token of that action.
         token: u64,
     },
     /// A health check has ended.
@@ -206,7 +209,7 @@
     },
     /// Another balancer has sent a message.
     Peer {
-        /// Number of the sender.
+        /// Index of the sender.
         from: u32,
         /// The message.
         content: Vec<u8>,
--- a/balancer/src/interface/settings.rs
+++ b/balancer/src/interface/settings.rs
@@ -1,216 +1,217 @@
-//! The settings of a balancer: what the site promises, allows and charges.
+//! The settings of a balancer: service objectives, limits and costs of the site that it runs in.
 
 use thiserror::Error;
 
 use super::Millis;
 
-/// Which endpoints recognise the idempotency key of a request that they, or others, have seen before.
+/// Which endpoints recognise an idempotency key after one endpoint has received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints.
     All,
-    /// Those of the zone that saw the first attempt.
+    /// The endpoints in the zone of the first attempt.
     Zone,
-    /// Those of the cell that saw the first attempt.
+    /// The endpoints in the cell of the first attempt.
     Cell,
 }
 
-/// What running a request again would do.
+/// The effect of executing a request a second time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// No harm: the request is idempotent.
+    /// None: the request is idempotent.
     Safe,
-    /// No harm where its idempotency key is known: endpoints within `scope` drop a repeat for `ttl` after the
-    /// first attempt.
+    /// None where its idempotency key is known: for `ttl` after the first attempt, endpoints within `scope`
+    /// deduplicate it.
     Keyed {
-        /// Which endpoints know the key.
+        /// Which endpoints recognise the key.
         scope: KeyScope,
-        /// How long they remember it, from when the first attempt was sent.
+        /// How long they recognise it, counted from when the first attempt was sent.
         ttl: Millis,
     },
-    /// Harm: it must never run twice.
+    /// Harmful: the request must never be executed twice.
     Unsafe,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency objective: a response within this time earns the full priority weight.
+    /// Latency objective: a response within this time counts with the full priority weight.
     pub latency_objective: Millis,
-    /// The objective grows by this multiple of the request's own work, up to the deadline.
+    /// The latency objective is extended by this multiple of the request's own work, up to the deadline.
     pub objective_stretch: f64,
-    /// How long the client waits in all, over all its retries.
+    /// How long the client waits in total, including its own retries.
     pub deadline: Millis,
-    /// Priority weight: what serving one request earns.
+    /// Priority weight: the value of serving one request.
     pub priority_weight: f64,
-    /// The part of the priority weight that a response after the objective still earns, 0 to 1.
+    /// The fraction of the priority weight that a response after the objective still counts with, 0 to 1.
     pub late_priority_weight: f64,
-    /// What running it again would do.
+    /// The effect of executing such a request a second time.
     pub effect: Effect,
-    /// Whether its response is a stream.
+    /// Whether responses are streamed.
     pub streamed: bool,
 }
 
-/// A tenant and what it was promised.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its part of the service, between 0 and 1.
+    /// Its share of the service, 0 to 1.
     pub portion: f64,
-    /// Requests a second, through all balancers together, that count in full.
+    /// Requests per second, through all balancers together, that count with their full priority weight.
     pub quota_per_s: f64,
 }
 
-/// How changes of the endpoint list arrive.
+/// How the balancer is notified of changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// They are pushed.
+    /// Changes are pushed without being requested.
     Automatic,
-    /// They come only in response to [`Action::Watch`](super::Action::Watch) or
+    /// Changes arrive only in response to [`Action::Watch`](super::Action::Watch) or
     /// [`Action::Fetch`](super::Action::Fetch).
     Subscribe,
 }
 
-/// What the site allows.
+/// Limits that the site imposes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The most attempts that one request may have.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Hedging: a request may have two attempts in flight together.
+    /// Whether requests may be hedged, with two attempts in flight at the same time.
     pub hedging: bool,
-    /// Endpoints may be sent health checks.
+    /// Whether endpoints may be sent health checks.
     pub probes: bool,
-    /// Balancers may send each other messages.
+    /// Whether balancers may send each other messages.
     pub peer_messages: bool,
-    /// Rejections carry a `Retry-After`.
+    /// Whether rejections carry a `Retry-After` header.
     pub retry_after: bool,
-    /// The longest `Retry-After` that clients follow.
+    /// The longest `Retry-After` that clients obey.
     pub max_retry_after: Millis,
     /// Connect timeout.
     pub dial_timeout: Millis,
-    /// Endpoints close a connection that has been idle for this long.
+    /// Idle timeout after which endpoints close a connection.
     pub conn_idle: Millis,
-    /// How many attempts one connection carries at a time.
+    /// How many attempts one connection carries at the same time.
     pub streams: u32,
-    /// Requests that may be in flight at once; those beyond never arrive.
+    /// Maximum number of requests in flight; the caller does not pass on requests beyond it.
     pub open_requests: u32,
-    /// CPU time that this balancer may use in a second, in microseconds.
+    /// CPU time that this balancer may use per second, in microseconds.
     pub cpu_us_per_s: f64,
-    /// CPU time for a request with all its events, in microseconds; `None` means no such limit.
+    /// CPU time that it may use per request, for all events of the request together, in microseconds; `None`
+    /// means no limit.
     pub cpu_us_per_request: Option<f64>,
 }
 
-/// Which responses of endpoints carry load reports.
+/// Which responses from endpoints carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reporting {
     /// None.
     Never,
-    /// Those to health checks.
+    /// Responses to health checks.
     WithProbes,
-    /// All.
+    /// All responses.
     WithAnswers,
 }
 
-/// What load reports contain; one flag for each value of a [`LoadReport`](super::LoadReport).
+/// Contents of load reports, with one flag for each value of a [`LoadReport`](super::LoadReport).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reports {
-    /// Which responses carry them.
+    /// Which responses carry load reports.
     pub given: Reporting,
-    /// `LoadReport::outstanding` is among the values.
+    /// Whether reports contain `LoadReport::outstanding`.
     pub outstanding: bool,
-    /// `LoadReport::backlog` is.
+    /// Whether reports contain `LoadReport::backlog`.
     pub backlog: bool,
-    /// `LoadReport::utilization` is.
+    /// Whether reports contain `LoadReport::utilization`.
     pub utilization: bool,
-    /// `LoadReport::recent_ms` is.
+    /// Whether reports contain `LoadReport::recent_ms`.
     pub recent_ms: bool,
-    /// `LoadReport::throughput` is.
+    /// Whether reports contain `LoadReport::throughput`.
     pub throughput: bool,
-    /// `LoadReport::errors_per_s` is.
+    /// Whether reports contain `LoadReport::errors_per_s`.
     pub errors_per_s: bool,
 }
 
-/// What [`EndpointEntry::weight`](super::EndpointEntry::weight) stands for.
+/// Meaning of [`EndpointEntry::weight`](super::EndpointEntry::weight).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing; all weigh the same.
+    /// No meaning: all endpoints have the same weight.
     Equal,
-    /// The size that the endpoint was registered with.
+    /// The capacity that the endpoint was registered with.
     Nominal,
-    /// About its size.
+    /// Approximately its capacity.
     Rough,
-    /// Its size over its load of some time ago.
+    /// Its capacity divided by its load at some earlier time.
     Live,
 }
 
-/// What the service is judged by: relative weights.
+/// Relative weights of the parts of the service objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Goal {
-    /// The whole of the time.
+    /// Service over the whole time.
     pub whole: f64,
-    /// The worst seconds.
+    /// Service during the worst seconds.
     pub worst_window: f64,
-    /// The class that is served worst.
+    /// Service of the class that is served worst.
     pub worst_class: f64,
-    /// The tenant that is served worst, within its quota.
+    /// Service of the tenant that is served worst, within its quota.
     pub worst_tenant: f64,
 }
 
-/// The limits of the rules that every balancer keeps.
+/// Parameters of the protocol between clients, balancers and endpoints that every balancer must follow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contract {
-    /// How long after the client's deadline a final response still counts.
+    /// How long after the client's deadline a final response is still valid.
     pub grace_to_answer: Millis,
-    /// How long attempts may still begin after an endpoint was notified as draining.
+    /// How long attempts may still start at an endpoint after the notification that it is draining.
     pub drain_grace: Millis,
-    /// Slow start: the part of its capacity that an endpoint has at least when it starts, 0 to 1.
+    /// Slow start: the minimum fraction of its capacity that an endpoint has when it starts, 0 to 1.
     pub initial_capacity: f64,
-    /// Slow start: how long it takes at most until the endpoint has all of its capacity.
+    /// Slow start: the maximum time until an endpoint has its full capacity.
     pub warm_up: Millis,
-    /// Work beyond this multiple of its present capacity, ...
+    /// Work above this multiple of its current capacity, ...
     pub overload_multiple: f64,
-    /// ... over this time, makes an endpoint in slow start fail.
+    /// ... within this time, makes an endpoint in slow start fail.
     pub overload_window: Millis,
-    /// With [`Discovery::Subscribe`]: changes count as notified after this time, whether or not discovery was
-    /// polled.
+    /// With [`DiscoveryMode::Pull`]: the balancer counts as notified of a change after this time, whether or not
+    /// it polled discovery.
     pub poll_within: Option<Millis>,
 }
 
-/// Price of each unit of cost; 1 is the priority weight of all requests.
+/// Price of each kind of cost; 1 is the priority weight of all requests together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// An attempt that crosses zones.
+    /// An attempt to an endpoint in another zone.
     pub cross_zone: f64,
-    /// Endpoint work that served no response, by the work asked for.
+    /// Work of endpoints that led to no response, as a fraction of the work that clients requested.
     pub waste: f64,
-    /// Priority weight that ended unserved after its latency objective.
+    /// Priority weight of requests that failed after their latency objective.
     pub late_fail: f64,
     /// A new connection.
     pub handshake: f64,
-    /// A hundred connections held open to each endpoint.
+    /// A hundred open connections to each endpoint.
     pub connection: f64,
-    /// A hundred lines of the endpoint list.
+    /// A hundred lines of the endpoint list, received from discovery.
     pub discovery: f64,
     /// A health check.
     pub probe: f64,
-    /// A full message to a peer.
+    /// A message of the maximum size to another balancer.
     pub peer: f64,
 }
 
-/// Which zones are near each other.
+/// Proximity of zones, for locality-aware routing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Locality {
-    /// The zone of this balancer, where it knows one; without it no zone is nearer than another.
+    /// The zone of this balancer, if known; without it no zone is nearer than another.
     pub own: Option<usize>,
-    /// By zone: the region, by any number. Zones of one region are near each other.
+    /// The region of each zone, as an arbitrary number. Zones of one region are near each other.
     pub regions: Vec<usize>,
 }
 
 /// The settings of one balancer, fixed for its lifetime.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of this balancer, from 0.
+    /// Index of this balancer, from 0.
     pub me: u32,
     /// How many balancers share the endpoints.
     pub balancers: u32,
@@ -218,41 +219,41 @@
     pub zone: usize,
     /// How many zones there are.
     pub zones: usize,
-    /// Which zones are near each other; `None` where all are used alike.
+    /// Proximity of zones; `None` if all zones are used alike.
     pub locality: Option<Locality>,
     /// How many kinds of endpoints there are.
     pub kinds: usize,
     /// The classes of requests.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants; empty if requests belong to none.
     pub tenants: Vec<Tenant>,
-    /// The part of its priority weight that a request beyond its tenant's quota keeps.
+    /// The fraction of its priority weight that a request above its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// Whether priority weight counts for each unit of work rather than for each request.
+    /// Whether the priority weight applies to each unit of work rather than to each request.
     pub weight_by_work: bool,
-    /// Endpoints cache: one that lately served a key does less work for it.
+    /// Whether endpoints cache by key: one that recently served a key has less work with it.
     pub warm_keys: bool,
-    /// Clients mark their retries.
+    /// Whether clients mark their retries.
     pub marks_retry: bool,
-    /// The parts that the service is judged by.
+    /// Weights of the service objective.
     pub goal: Goal,
-    /// Load reports of endpoints.
+    /// Contents of the load reports from endpoints.
     pub reports: Reports,
     /// Meaning of the endpoints' weights.
     pub weights: Weights,
-    /// How the endpoint list arrives.
+    /// How the endpoint list is received.
     pub discovery: Discovery,
-    /// Resolution of the caller's events and timers.
+    /// Resolution of the caller's clock and timers.
     pub tick: Millis,
-    /// What is allowed.
+    /// Limits of the site.
     pub limits: Limits,
-    /// Limits of the rules.
+    /// Parameters of the protocol with clients and endpoints.
     pub contract: Contract,
-    /// Prices of costs.
+    /// Prices of each kind of cost.
     pub prices: Prices,
 }
 
-/// A setting that cannot be used.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("settings: {field} {problem}")]
 pub struct SettingsError {
@@ -265,7 +266,7 @@
         SettingsError { field: field.into(), problem }
     }
 
-    /// The field at fault, as a path such as `classes[1].deadline`.
+    /// Path of the invalid field, such as `classes[1].deadline`.
     pub fn field(&self) -> &str {
         &self.field
     }
--- a/balancer/src/interface/validation.rs
+++ b/balancer/src/interface/validation.rs
@@ -1,18 +1,18 @@
-//! Checks of the settings.
+//! Validation of the settings.
 
 use super::{Class, Contract, Effect, Goal, Limits, Locality, Prices, Settings, SettingsError};
 
 impl Settings {
-    /// Checks that every figure can be used.
+    /// Checks that all settings are valid.
     ///
     /// # Errors
     ///
-    /// Names the first field that is missing, out of range, negative or not finite.
+    /// Returns the first field that is missing, out of range, negative or not finite.
     pub fn check(&self) -> Result<(), SettingsError> {
-        self.check_counts()?;
-        self.check_locality()?;
-        for (field, number) in self.numbers() {
-            if !number.is_finite() || number < 0.0 {
+        self.validate_counts()?;
+        self.validate_locality()?;
+        for (field, value) in self.numeric_fields() {
+            if !value.is_finite() || value < 0.0 {
                 return Err(SettingsError::new(field, "is negative or not finite"));
             }
         }
@@ -24,7 +24,7 @@
         Ok(())
     }
 
-    fn check_counts(&self) -> Result<(), SettingsError> {
+    fn validate_counts(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::new("classes", "names no class"));
         }
@@ -40,7 +40,7 @@
         zero.map_or(Ok(()), |(field, _)| Err(SettingsError::new(field, "is 0")))
     }
 
-    fn check_locality(&self) -> Result<(), SettingsError> {
+    fn validate_locality(&self) -> Result<(), SettingsError> {
         let Some(Locality { own, regions }) = &self.locality else { return Ok(()) };
         if regions.len() != self.zones {
             return Err(SettingsError::new("locality.regions", "are not as many as the zones"));
@@ -51,30 +51,30 @@
         Ok(())
     }
 
-    /// Each number with its field: none may be negative or infinite.
-    fn numbers(&self) -> Vec<(String, f64)> {
-        let mut numbers =
+    /// All numeric settings with the paths of their fields; none may be negative or infinite.
+    fn numeric_fields(&self) -> Vec<(String, f64)> {
+        let mut fields =
             vec![("tick".to_owned(), self.tick), ("over_share_worth".to_owned(), self.over_quota_weight)];
-        numbers.extend(self.limits.numbers());
-        numbers.extend(self.contract.numbers());
-        numbers.extend(self.prices.numbers());
-        numbers.extend(self.goal.numbers());
+        fields.extend(self.limits.numeric_fields());
+        fields.extend(self.contract.numeric_fields());
+        fields.extend(self.prices.numeric_fields());
+        fields.extend(self.goal.numeric_fields());
         for (i, class) in self.classes.iter().enumerate() {
-            numbers.extend(class.numbers().map(|(field, number)| (format!("classes[{i}].{field}"), number)));
+            fields.extend(class.numeric_fields().map(|(field, value)| (format!("classes[{i}].{field}"), value)));
             if let Effect::Keyed { ttl, .. } = class.effect {
-                numbers.push((format!("classes[{i}].effect.ttl"), ttl));
+                fields.push((format!("classes[{i}].effect.ttl"), ttl));
             }
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
-            numbers.push((format!("tenants[{i}].portion"), tenant.portion));
-            numbers.push((format!("tenants[{i}].quota_per_s"), tenant.quota_per_s));
+            fields.push((format!("tenants[{i}].portion"), tenant.portion));
+            fields.push((format!("tenants[{i}].quota_per_s"), tenant.quota_per_s));
         }
-        numbers
+        fields
     }
 }
 
 impl Class {
-    fn numbers(&self) -> [(&'static str, f64); 5] {
+    fn numeric_fields(&self) -> [(&'static str, f64); 5] {
         [
             ("aim", self.latency_objective),
             ("aim_stretch", self.objective_stretch),
@@ -86,21 +86,21 @@
 }
 
 impl Limits {
-    fn numbers(&self) -> impl Iterator<Item = (String, f64)> {
-        let numbers = [
+    fn numeric_fields(&self) -> impl Iterator<Item = (String, f64)> {
+        let fields = [
             ("max_retry_after", self.max_retry_after),
             ("dial_timeout", self.dial_timeout),
             ("conn_idle", self.conn_idle),
             ("cpu_us_per_s", self.cpu_us_per_s),
             ("cpu_us_per_request", self.cpu_us_per_request.unwrap_or(0.0)),
         ];
-        numbers.into_iter().map(|(field, number)| (format!("limits.{field}"), number))
+        fields.into_iter().map(|(field, value)| (format!("limits.{field}"), value))
     }
 }
 
 impl Contract {
-    fn numbers(&self) -> impl Iterator<Item = (String, f64)> {
-        let numbers = [
+    fn numeric_fields(&self) -> impl Iterator<Item = (String, f64)> {
+        let fields = [
             ("grace_to_answer", self.grace_to_answer),
             ("drain_grace", self.drain_grace),
             ("cold_from", self.initial_capacity),
@@ -109,13 +109,13 @@
             ("fall", self.overload_window),
             ("ask_within", self.poll_within.unwrap_or(0.0)),
         ];
-        numbers.into_iter().map(|(field, number)| (format!("contract.{field}"), number))
+        fields.into_iter().map(|(field, value)| (format!("contract.{field}"), value))
     }
 }
 
 impl Prices {
-    fn numbers(&self) -> impl Iterator<Item = (String, f64)> {
-        let numbers = [
+    fn numeric_fields(&self) -> impl Iterator<Item = (String, f64)> {
+        let fields = [
             ("cross_zone", self.cross_zone),
             ("waste", self.waste),
             ("late_fail", self.late_fail),
@@ -125,18 +125,18 @@
             ("probe", self.probe),
             ("peer", self.peer),
         ];
-        numbers.into_iter().map(|(field, number)| (format!("prices.{field}"), number))
+        fields.into_iter().map(|(field, value)| (format!("prices.{field}"), value))
     }
 }
 
 impl Goal {
-    fn numbers(&self) -> impl Iterator<Item = (String, f64)> {
-        let numbers = [
+    fn numeric_fields(&self) -> impl Iterator<Item = (String, f64)> {
+        let fields = [
             ("whole", self.whole),
             ("worst_window", self.worst_window),
             ("worst_class", self.worst_class),
             ("worst_tenant", self.worst_tenant),
         ];
-        numbers.into_iter().map(|(field, number)| (format!("goal.{field}"), number))
+        fields.into_iter().map(|(field, value)| (format!("goal.{field}"), value))
     }
 }
