--- a/balancer/src/interface.rs
+++ b/balancer/src/interface.rs
@@ -38,6 +38,7 @@
     pub since: Millis,
     /// True if attempts to its endpoints got no response in time; false if connections to them failed.
     pub silent: bool,
-    /// All zones, or all but the balancer's own, are ejected: the fault may lie in the balancer's own network.
+    /// All zones, or all but the balancer's own, are ejected: the fault may lie in the balancer's own
+    /// network.
     pub own_network: bool,
 }
--- a/balancer/src/interface/action.rs
+++ b/balancer/src/interface/action.rs
@@ -5,7 +5,7 @@
 /// An instruction to the caller, to be carried out at once and in the order received.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. The attempts of a request are numbered 0, 1, 2, ... in the order of their `Send` actions.
+    /// Start an attempt. The attempts of a request are numbered 0, 1, 2, ... in the order of these actions.
     Send {
         /// The request.
         id: RequestId,
--- a/balancer/src/interface/event.rs
+++ b/balancer/src/interface/event.rs
@@ -171,14 +171,14 @@
         /// The request.
         id: RequestId,
     },
-    /// The client closed its sending side. It may have disconnected, so no further attempt starts; a response to
-    /// an attempt in flight can still be delivered.
+    /// The client closed its sending side. It may have disconnected, so no further attempt starts; a response
+    /// to an attempt in flight can still be delivered.
     ClientClosed {
         /// The request.
         id: RequestId,
     },
-    /// An operator disabled an endpoint: it counts as draining until it is enabled, whatever the endpoint list
-    /// says.
+    /// An operator disabled an endpoint: it counts as draining until it is enabled, whatever the endpoint
+    /// list says.
     Disabled {
         /// The endpoint.
         endpoint: EndpointId,
--- a/balancer/src/interface/settings.rs
+++ b/balancer/src/interface/settings.rs
@@ -173,8 +173,8 @@
     pub overload_multiple: f64,
     /// ... within this time, makes an endpoint in slow start fail.
     pub overload_window: Millis,
-    /// With [`DiscoveryMode::Pull`]: the balancer counts as notified of a change after this time, whether or not
-    /// it polled discovery.
+    /// With [`DiscoveryMode::Pull`]: the balancer counts as notified of a change after this time, whether or
+    /// not it polled discovery.
     pub poll_within: Option<Millis>,
 }
 
