--- a/balancer/benches/decision.rs
+++ b/balancer/benches/decision.rs
@@ -16,21 +16,26 @@
     };
     let regions = vec![0, 0, 1, 1];
     Settings {
-        me: 0,
-        balancers: 300,
+        balancer_index: 0,
+        balancer_count: 300,
         zone: 0,
-        zones: 4,
-        locality: locality.then_some(Locality { own: Some(0), regions }),
-        kinds: 3,
+        zone_count: 4,
+        locality: locality.then_some(Locality { own_zone: Some(0), regions }),
+        kind_count: 3,
         classes: vec![class(Effect::Safe, 8.0), class(Effect::Unsafe, 24.0)],
         tenants: Vec::new(),
         over_quota_weight: 1.0,
         weight_by_work: false,
-        warm_keys: false,
-        marks_retry: false,
-        goal: Goal { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
-        reports: Reports {
-            given: Reporting::WithAnswers,
+        key_affinity: false,
+        clients_mark_retries: false,
+        objective_weights: ObjectiveWeights {
+            overall: 1.0,
+            worst_window: 0.0,
+            worst_class: 0.0,
+            worst_tenant: 0.0,
+        },
+        load_reports: LoadReportSettings {
+            carried_by: LoadReporting::WithResponses,
             outstanding: false,
             backlog: false,
             utilization: true,
@@ -38,32 +43,32 @@
             throughput: false,
             errors_per_s: false,
         },
-        weights: Weights::Equal,
-        discovery: Discovery::Automatic,
-        tick: 4.0,
+        weight_basis: WeightBasis::Equal,
+        discovery_mode: DiscoveryMode::Push,
+        timer_resolution: 4.0,
         limits: Limits {
-            attempts: 3,
-            cancelling: true,
+            max_attempts: 3,
+            cancellation: true,
             hedging: false,
             probes: false,
             peer_messages: false,
             retry_after: true,
             max_retry_after: 400.0,
-            dial_timeout: 100.0,
-            conn_idle: 30_000.0,
-            streams: 1,
-            open_requests: 1000,
+            connect_timeout: 100.0,
+            connection_idle_timeout: 30_000.0,
+            streams_per_connection: 1,
+            max_requests_in_flight: 1000,
             cpu_us_per_s: 8000.0,
             cpu_us_per_request: None,
         },
         contract: Contract {
-            grace_to_answer: 16.0,
+            response_grace: 16.0,
             drain_grace: 1500.0,
             initial_capacity: 0.12,
             warm_up: 20_000.0,
             overload_multiple: 4.0,
             overload_window: 1000.0,
-            poll_within: None,
+            max_notification_delay: None,
         },
         prices: Prices::default(),
     }
@@ -87,10 +92,10 @@
             kind: n as usize % 3,
             cell: 0,
             weight: 1.0,
-            started: None,
-            phase: EndpointState::Up,
+            started_at: None,
+            state: EndpointState::Up,
         };
-        warm.event(Event::Endpoints(EndpointUpdate::CachedSnapshot((0..200).map(endpoint).collect())));
+        warm.event(Event::EndpointUpdate(EndpointUpdate::CachedSnapshot((0..200).map(endpoint).collect())));
         for _ in 0..2000 {
             warm.request();
         }
@@ -107,22 +112,30 @@
         self.next += 1;
         let id = RequestId(self.next);
         let metadata = RequestMetadata { class: (self.next % 2) as usize, ..RequestMetadata::default() };
-        let request = NewRequest { id, patience: 750.0, body_pending: false, metadata };
+        let request = NewRequest { id, timeout: 750.0, body_pending: false, metadata };
         self.event(Event::Request(request));
         self.now += 20.0;
         let report = LoadReport { utilization: Some(0.5), ..LoadReport::default() };
         let (outcome, latency) = (Outcome::Served, 20.0);
-        let end = AttemptEnd { id, attempt: 0, outcome, latency, ended: true, report, cannot_resend: false };
-        self.event(Event::Finished(end));
+        let end = AttemptEnd {
+            id,
+            attempt: 0,
+            outcome,
+            latency,
+            request_ended: true,
+            load_report: report,
+            cannot_resend: false,
+        };
+        self.event(Event::AttemptFinished(end));
         self.now += 10.0;
     }
 
     /// The look that is due every 100 ms; its token is the last one that was given.
     fn look(&mut self, token: &mut u64) {
         self.now += 100.0;
-        self.event(Event::Timer { token: *token });
+        self.event(Event::TimerFired { token: *token });
         let given = self.out.iter().find_map(|action| match action {
-            Action::Timer { token, .. } => Some(*token),
+            Action::SetTimer { token, .. } => Some(*token),
             _ => None,
         });
         *token = given.unwrap_or(*token);
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -51,7 +51,7 @@
     /// An endpoint of which nothing is known yet.
     pub(crate) fn new(group: usize, subset_position: f64, classes: usize, entry: EndpointEntry) -> Endpoint {
         Endpoint {
-            listed_state: entry.phase,
+            listed_state: entry.state,
             removed_at: f64::INFINITY,
             subset_position,
             group,
@@ -79,10 +79,10 @@
     pub(crate) fn with_override(mut self, operator: Option<OperatorOverride>) -> Endpoint {
         match operator {
             Some(OperatorOverride::Out) if self.listed_state == EndpointState::Up => {
-                self.entry.phase = EndpointState::Draining;
+                self.entry.state = EndpointState::Draining;
             }
             Some(OperatorOverride::Back(at)) => {
-                self.entry.started = Some(self.entry.started.map_or(at, |started| started.max(at)));
+                self.entry.started_at = Some(self.entry.started_at.map_or(at, |started| started.max(at)));
             }
             _ => {}
         }
--- a/balancer/src/endpoint/tests.rs
+++ b/balancer/src/endpoint/tests.rs
@@ -4,8 +4,15 @@
 #[test]
 fn work_sent_to_a_slow_endpoint_counts_as_if_it_were_sound() {
     let (started, phase) = (None, EndpointState::Up);
-    let entry =
-        EndpointEntry { endpoint: EndpointId(1), zone: 0, kind: 0, cell: 0, weight: 1.0, started, phase };
+    let entry = EndpointEntry {
+        endpoint: EndpointId(1),
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        weight: 1.0,
+        started_at: started,
+        state: phase,
+    };
     let counted = |selection_weight, soundest| {
         let mut endpoint = Endpoint::new(0, 0.0, 1, entry.clone());
         endpoint.selection_weight = selection_weight;
--- a/balancer/src/interface.rs
+++ b/balancer/src/interface.rs
@@ -12,8 +12,8 @@
     RequestMetadata,
 };
 pub use settings::{
-    Class, Contract, Discovery, Effect, Goal, KeyScope, Limits, Locality, Prices, Reporting, Reports,
-    Settings, SettingsError, Tenant, Weights,
+    Class, Contract, DiscoveryMode, Effect, KeyScope, Limits, LoadReportSettings, LoadReporting, Locality,
+    ObjectiveWeights, Prices, Settings, SettingsError, Tenant, WeightBasis,
 };
 
 /// A duration, or a point in time on the caller's clock, in milliseconds.
@@ -35,10 +35,10 @@
     /// Index of the zone.
     pub zone: usize,
     /// When it was ejected, on the caller's clock.
-    pub since: Millis,
+    pub ejected_at: Millis,
     /// True if attempts to its endpoints got no response in time; false if connections to them failed.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// All zones, or all but the balancer's own, are ejected: the fault may lie in the balancer's own
     /// network.
-    pub own_network: bool,
+    pub own_network_suspected: bool,
 }
--- a/balancer/src/interface/action.rs
+++ b/balancer/src/interface/action.rs
@@ -22,7 +22,7 @@
         attempt: u32,
     },
     /// Send the client its final response: the request was rejected, and retrying it is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Value of the `Retry-After` header; `None` for no such header.
@@ -34,7 +34,7 @@
         id: RequestId,
     },
     /// Deliver [`Event::TimerFired`](super::Event::TimerFired) at this time or soon after.
-    Timer {
+    SetTimer {
         /// When the timer is due, on the caller's clock.
         at: Millis,
         /// Returned with the event.
@@ -46,7 +46,7 @@
         endpoint: EndpointId,
     },
     /// Close the idle connections to an endpoint.
-    CloseIdle {
+    CloseIdleConnections {
         /// The endpoint.
         endpoint: EndpointId,
     },
@@ -58,7 +58,7 @@
         content: Vec<u8>,
     },
     /// Release the identifier of an endpoint that discovery removed: the balancer no longer refers to it.
-    Forget {
+    ReleaseEndpointId {
         /// The endpoint.
         endpoint: EndpointId,
     },
--- a/balancer/src/interface/event.rs
+++ b/balancer/src/interface/event.rs
@@ -27,16 +27,16 @@
     /// Its weight relative to other endpoints; see [`WeightBasis`](super::WeightBasis) for its meaning.
     pub weight: f64,
     /// When its process last started, on the caller's clock; `None` if so long ago that slow start is over.
-    pub started: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Its state.
-    pub phase: EndpointState,
+    pub state: EndpointState,
 }
 
 impl EndpointEntry {
     /// An endpoint that is up and warmed up, with zone 0, kind 0, cell 0 and weight 1.
     pub fn new(endpoint: EndpointId) -> EndpointEntry {
         let (started, phase) = (None, EndpointState::Up);
-        EndpointEntry { endpoint, zone: 0, kind: 0, cell: 0, weight: 1.0, started, phase }
+        EndpointEntry { endpoint, zone: 0, kind: 0, cell: 0, weight: 1.0, started_at: started, state: phase }
     }
 }
 
@@ -103,7 +103,7 @@
     /// The client marked it as a retry.
     pub is_retry: bool,
     /// It modifies data that the endpoints store.
-    pub update: bool,
+    pub is_write: bool,
     /// Its expected cost, in milliseconds on a reference core.
     pub size_hint: Option<f64>,
     /// Key of the object that it concerns, for key affinity.
@@ -116,7 +116,7 @@
     /// Its identifier, not used before.
     pub id: RequestId,
     /// How long the client waits for the response to this request, from now on.
-    pub patience: Millis,
+    pub timeout: Millis,
     /// Its body is still being received and is forwarded as it arrives, so the request can be sent only once.
     /// [`Event::BodyComplete`] follows.
     pub body_pending: bool,
@@ -136,9 +136,9 @@
     /// Time since the attempt was sent.
     pub latency: Millis,
     /// The client already has its final response, from this attempt or an earlier one.
-    pub ended: bool,
+    pub request_ended: bool,
     /// The load that the endpoint reported with its response.
-    pub report: LoadReport,
+    pub load_report: LoadReport,
     /// The request cannot be sent again: a part of its body was sent and is no longer buffered.
     pub cannot_resend: bool,
 }
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Discovery sent an update of the endpoint list, or could not be reached.
-    Endpoints(EndpointUpdate),
+    EndpointUpdate(EndpointUpdate),
     /// A client sent a request. The balancer must send exactly one final response to it.
     Request(NewRequest),
     /// The last byte of a request with a pending body has been received.
@@ -155,7 +155,7 @@
         /// The request.
         id: RequestId,
         /// How long the client waits for the response, from now on.
-        patience: Millis,
+        timeout: Millis,
     },
     /// The first byte of the response to an attempt of a streamed class has been received.
     FirstByte {
@@ -165,15 +165,15 @@
         attempt: u32,
     },
     /// An attempt has ended.
-    Finished(AttemptEnd),
+    AttemptFinished(AttemptEnd),
     /// The client disconnected; no final response must be sent any more.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
     /// The client closed its sending side. It may have disconnected, so no further attempt starts; a response
     /// to an attempt in flight can still be delivered.
-    ClientClosed {
+    ClientHalfClosed {
         /// The request.
         id: RequestId,
     },
@@ -192,12 +192,12 @@
         at: Millis,
     },
     /// A timer set with [`Action::SetTimer`](super::Action::SetTimer) is due.
-    Timer {
+    TimerFired {
         /// The token of that action.
         token: u64,
     },
     /// A health check has ended.
-    Probed {
+    ProbeFinished {
         /// The endpoint.
         endpoint: EndpointId,
         /// How the health check ended.
@@ -205,10 +205,10 @@
         /// How long it took.
         latency: Millis,
         /// The load that the endpoint reported with its response.
-        report: LoadReport,
+        load_report: LoadReport,
     },
     /// Another balancer has sent a message.
-    Peer {
+    PeerMessage {
         /// Index of the sender.
         from: u32,
         /// The message.
--- a/balancer/src/interface/settings.rs
+++ b/balancer/src/interface/settings.rs
@@ -55,28 +55,28 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Its share of the service, 0 to 1.
-    pub portion: f64,
+    pub service_share: f64,
     /// Requests per second, through all balancers together, that count with their full priority weight.
     pub quota_per_s: f64,
 }
 
 /// How the balancer is notified of changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes are pushed without being requested.
-    Automatic,
+    Push,
     /// Changes arrive only in response to [`Action::Watch`](super::Action::Watch) or
     /// [`Action::Fetch`](super::Action::Fetch).
-    Subscribe,
+    Pull,
 }
 
 /// Limits that the site imposes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum number of attempts per request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether attempts may be cancelled.
-    pub cancelling: bool,
+    pub cancellation: bool,
     /// Whether requests may be hedged, with two attempts in flight at the same time.
     pub hedging: bool,
     /// Whether endpoints may be sent health checks.
@@ -88,13 +88,13 @@
     /// The longest `Retry-After` that clients obey.
     pub max_retry_after: Millis,
     /// Connect timeout.
-    pub dial_timeout: Millis,
+    pub connect_timeout: Millis,
     /// Idle timeout after which endpoints close a connection.
-    pub conn_idle: Millis,
+    pub connection_idle_timeout: Millis,
     /// How many attempts one connection carries at the same time.
-    pub streams: u32,
+    pub streams_per_connection: u32,
     /// Maximum number of requests in flight; the caller does not pass on requests beyond it.
-    pub open_requests: u32,
+    pub max_requests_in_flight: u32,
     /// CPU time that this balancer may use per second, in microseconds.
     pub cpu_us_per_s: f64,
     /// CPU time that it may use per request, for all events of the request together, in microseconds; `None`
@@ -104,20 +104,20 @@
 
 /// Which responses from endpoints carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reporting {
+pub enum LoadReporting {
     /// None.
     Never,
     /// Responses to health checks.
     WithProbes,
     /// All responses.
-    WithAnswers,
+    WithResponses,
 }
 
 /// Contents of load reports, with one flag for each value of a [`LoadReport`](super::LoadReport).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reports {
+pub struct LoadReportSettings {
     /// Which responses carry load reports.
-    pub given: Reporting,
+    pub carried_by: LoadReporting,
     /// Whether reports contain `LoadReport::outstanding`.
     pub outstanding: bool,
     /// Whether reports contain `LoadReport::backlog`.
@@ -134,22 +134,22 @@
 
 /// Meaning of [`EndpointEntry::weight`](super::EndpointEntry::weight).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightBasis {
     /// No meaning: all endpoints have the same weight.
     Equal,
     /// The capacity that the endpoint was registered with.
     Nominal,
     /// Approximately its capacity.
-    Rough,
+    Approximate,
     /// Its capacity divided by its load at some earlier time.
-    Live,
+    LoadAdjusted,
 }
 
 /// Relative weights of the parts of the service objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Goal {
+pub struct ObjectiveWeights {
     /// Service over the whole time.
-    pub whole: f64,
+    pub overall: f64,
     /// Service during the worst seconds.
     pub worst_window: f64,
     /// Service of the class that is served worst.
@@ -162,7 +162,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contract {
     /// How long after the client's deadline a final response is still valid.
-    pub grace_to_answer: Millis,
+    pub response_grace: Millis,
     /// How long attempts may still start at an endpoint after the notification that it is draining.
     pub drain_grace: Millis,
     /// Slow start: the minimum fraction of its capacity that an endpoint has when it starts, 0 to 1.
@@ -175,7 +175,7 @@
     pub overload_window: Millis,
     /// With [`DiscoveryMode::Pull`]: the balancer counts as notified of a change after this time, whether or
     /// not it polled discovery.
-    pub poll_within: Option<Millis>,
+    pub max_notification_delay: Option<Millis>,
 }
 
 /// Price of each kind of cost; 1 is the priority weight of all requests together.
@@ -186,7 +186,7 @@
     /// Work of endpoints that led to no response, as a fraction of the work that clients requested.
     pub waste: f64,
     /// Priority weight of requests that failed after their latency objective.
-    pub late_fail: f64,
+    pub late_failure: f64,
     /// A new connection.
     pub handshake: f64,
     /// A hundred open connections to each endpoint.
@@ -196,14 +196,14 @@
     /// A health check.
     pub probe: f64,
     /// A message of the maximum size to another balancer.
-    pub peer: f64,
+    pub peer_message: f64,
 }
 
 /// Proximity of zones, for locality-aware routing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Locality {
     /// The zone of this balancer, if known; without it no zone is nearer than another.
-    pub own: Option<usize>,
+    pub own_zone: Option<usize>,
     /// The region of each zone, as an arbitrary number. Zones of one region are near each other.
     pub regions: Vec<usize>,
 }
@@ -212,17 +212,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Index of this balancer, from 0.
-    pub me: u32,
+    pub balancer_index: u32,
     /// How many balancers share the endpoints.
-    pub balancers: u32,
+    pub balancer_count: u32,
     /// The zone of this balancer.
     pub zone: usize,
     /// How many zones there are.
-    pub zones: usize,
+    pub zone_count: usize,
     /// Proximity of zones; `None` if all zones are used alike.
     pub locality: Option<Locality>,
     /// How many kinds of endpoints there are.
-    pub kinds: usize,
+    pub kind_count: usize,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants; empty if requests belong to none.
@@ -232,19 +232,19 @@
     /// Whether the priority weight applies to each unit of work rather than to each request.
     pub weight_by_work: bool,
     /// Whether endpoints cache by key: one that recently served a key has less work with it.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// Whether clients mark their retries.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// Weights of the service objective.
-    pub goal: Goal,
+    pub objective_weights: ObjectiveWeights,
     /// Contents of the load reports from endpoints.
-    pub reports: Reports,
+    pub load_reports: LoadReportSettings,
     /// Meaning of the endpoints' weights.
-    pub weights: Weights,
+    pub weight_basis: WeightBasis,
     /// How the endpoint list is received.
-    pub discovery: Discovery,
+    pub discovery_mode: DiscoveryMode,
     /// Resolution of the caller's clock and timers.
-    pub tick: Millis,
+    pub timer_resolution: Millis,
     /// Limits of the site.
     pub limits: Limits,
     /// Parameters of the protocol with clients and endpoints.
--- a/balancer/src/logic.rs
+++ b/balancer/src/logic.rs
@@ -16,7 +16,7 @@
 
 use crate::decaying_mean::DecayingMean;
 use crate::endpoint::OperatorOverride;
-use crate::interface::{Action, Discovery, EndpointUpdate, Event, Millis, Settings, SettingsError};
+use crate::interface::{Action, DiscoveryMode, EndpointUpdate, Event, Millis, Settings, SettingsError};
 use crate::state::{Balancer, Load, TimerPurpose};
 
 /// How often health and admission are judged. Far below the seconds over which troubles come and go.
@@ -70,7 +70,7 @@
     /// # Errors
     /// When [`Settings::check`] finds fault with the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let aims = settings.classes.iter().map(|class| class.latency_objective / OBJECTIVE_OVER_USUAL);
         let usual = aims.sum::<f64>() / settings.classes.len() as f64;
         // Before anything is known: some requests on each endpoint, from all balancers together.
@@ -88,10 +88,10 @@
         if self.last_evaluated_at.is_none() {
             self.last_evaluated_at = Some(self.now);
             self.set_timer(EVALUATION_INTERVAL, TimerPurpose::Evaluate, out);
-            if self.settings.discovery == Discovery::Subscribe {
+            if self.settings.discovery_mode == DiscoveryMode::Pull {
                 // Guards against a fleet that starts together: who has a list can wait for a turn.
                 let known = match &event {
-                    Event::Endpoints(EndpointUpdate::CachedSnapshot(list)) => !list.is_empty(),
+                    Event::EndpointUpdate(EndpointUpdate::CachedSnapshot(list)) => !list.is_empty(),
                     _ => false,
                 };
                 let wait = if known { self.random_unit() * self.poll_spread() } else { 0.0 };
@@ -103,18 +103,18 @@
             }
         }
         match event {
-            Event::Endpoints(news) => self.apply_update(news, out),
+            Event::EndpointUpdate(news) => self.apply_update(news, out),
             Event::Request(request) if self.requests.contains_key(&request.id) => {} // taken already
             Event::Request(request) => self.arrive(&request, out),
-            Event::BodyComplete { id, patience } => self.body_completed(id, patience),
+            Event::BodyComplete { id, timeout } => self.body_completed(id, timeout),
             Event::FirstByte { id, attempt } => self.stream_began(id, attempt, out),
-            Event::Finished(end) => self.attempt_ended(&end, out),
-            Event::ClientGone { id } => self.request_over(id, out),
-            Event::ClientClosed { id } => self.client_closed(id, out),
+            Event::AttemptFinished(end) => self.attempt_ended(&end, out),
+            Event::ClientDisconnected { id } => self.request_over(id, out),
+            Event::ClientHalfClosed { id } => self.client_closed(id, out),
             Event::Disabled { endpoint } => self.apply_override(endpoint, OperatorOverride::Out, out),
             Event::Enabled { endpoint, at } => self.apply_override(endpoint, OperatorOverride::Back(at), out),
-            Event::Timer { token } => self.timer_fired(token, out),
-            Event::Probed { .. } | Event::Peer { .. } => {}
+            Event::TimerFired { token } => self.timer_fired(token, out),
+            Event::ProbeFinished { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
--- a/balancer/src/logic/admission.rs
+++ b/balancer/src/logic/admission.rs
@@ -48,7 +48,7 @@
     /// What the goal gains by one more answer of a class: its part of the whole, and while the class is
     /// the one served worst, of what that counts for.
     fn class_value(&self, class: usize) -> f64 {
-        let Settings { goal, weight_by_work, .. } = &self.settings;
+        let Settings { objective_weights: goal, weight_by_work, .. } = &self.settings;
         let priority_weight = |c: usize| {
             self.settings.classes[c].priority_weight * if *weight_by_work { self.typical(c) } else { 1.0 }
         };
@@ -56,14 +56,14 @@
         let kept = |c: usize| self.classes[c].kept.shrunk(1.0, PRIOR_RESPONSES);
         let all: f64 = (0..self.classes.len()).map(|c| priority_weight(c) * asked(c)).sum();
         let worst = (0..self.classes.len()).all(|c| kept(class) <= kept(c));
-        let whole = (goal.whole + goal.worst_window).max(f64::EPSILON);
+        let whole = (goal.overall + goal.worst_window).max(f64::EPSILON);
         whole * priority_weight(class) / all + if worst { goal.worst_class / asked(class) } else { 0.0 }
     }
 
     /// Load shedding: refuses the share `shed` of the work offered, from the least worth per work upwards.
     pub(super) fn sheds(&mut self, class: usize, tenant: usize, is_retry: bool) -> bool {
         // Guards against bursts: work piles up at the endpoints long before the first late answer shows it.
-        let part = self.load.ready_endpoints / f64::from(self.settings.balancers);
+        let part = self.load.ready_endpoints / f64::from(self.settings.balancer_count);
         // Clumps of arrivals on an easy day are no burst: far from overload the limit is wider.
         let ease = 1.0 + (1.0 - self.load.strained / OPEN_EASE).max(0.0);
         let limit = OPEN_MULTIPLE * ease * self.load.open_calm * self.load.ready_endpoints
--- a/balancer/src/logic/dispatch.rs
+++ b/balancer/src/logic/dispatch.rs
@@ -26,7 +26,7 @@
     pub(super) fn is_eligible(&self, request: &Request, h: usize) -> bool {
         let endpoint = &self.endpoints[h];
         // From the first notification of a drain on, long before its grace is over.
-        let is_available = endpoint.entry.phase == EndpointState::Up && endpoint.selection_weight > 0.0;
+        let is_available = endpoint.entry.state == EndpointState::Up && endpoint.selection_weight > 0.0;
         is_available
             && self.may_have_attempt(request)
             && self.runs_once(request, h)
@@ -38,7 +38,7 @@
     /// attempts.
     fn may_have_attempt(&self, request: &Request) -> bool {
         let is_in_time = request.waits() && self.now < request.deadline;
-        let has_attempt_left = request.attempts_made() < self.settings.limits.attempts as usize;
+        let has_attempt_left = request.attempts_made() < self.settings.limits.max_attempts as usize;
         is_in_time && has_attempt_left && !request.cannot_resend
     }
 
@@ -75,7 +75,8 @@
             Effect::Unsafe => false,
             Effect::Keyed { scope, ttl } => {
                 // The repeat must arrive while the key is remembered, so dialling time comes off.
-                let arrives = self.now + self.settings.limits.dial_timeout + self.settings.tick;
+                let arrives =
+                    self.now + self.settings.limits.connect_timeout + self.settings.timer_resolution;
                 arrives < earlier.sent + ttl
                     && match scope {
                         KeyScope::All => true,
@@ -96,7 +97,7 @@
         let open = if request.body_pending { 0.0 } else { work };
         let soundest = self.soundest[self.rate_of(&self.endpoints[h])];
         let endpoint = &mut self.endpoints[h];
-        let dialled = endpoint.connections.begin_attempt(self.settings.limits.streams);
+        let dialled = endpoint.connections.begin_attempt(self.settings.limits.streams_per_connection);
         self.load.open_work += open;
         let counted = endpoint.count_work(work, soundest, MIN_SOUNDNESS);
         endpoint.slow_start.budget -= charge;
@@ -118,7 +119,7 @@
         let harmless = effect == Effect::Safe || !request.may_have_run();
         let advice = (latency_objective / RETRY_AFTER_DIVISOR).min(self.settings.limits.max_retry_after);
         let retry_after = self.settings.limits.retry_after.then_some(advice);
-        out.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
+        out.push(if harmless { Action::Reject { id, retry_after } } else { Action::Fail { id } });
         self.request_over(id, out);
     }
 
@@ -146,18 +147,18 @@
     /// Calls off the attempts that are out, where that is allowed.
     pub(super) fn cancel_attempts(&self, id: RequestId, except: Option<u32>, out: &mut Vec<Action>) {
         let open = self.requests.get(&id).into_iter().flat_map(|request| (0..).zip(&request.attempts));
-        let open = open.filter(|(n, a)| a.open && Some(*n) != except && self.settings.limits.cancelling);
+        let open = open.filter(|(n, a)| a.open && Some(*n) != except && self.settings.limits.cancellation);
         out.extend(open.map(|(attempt, _)| Action::Cancel { id, attempt }));
     }
 
     pub(super) fn arrive(&mut self, new: &NewRequest, out: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(new.metadata.class) else {
-            return out.push(Action::Refuse { id: new.id, retry_after: None });
+            return out.push(Action::Reject { id: new.id, retry_after: None });
         };
         let tenant = new.metadata.tenant.min(self.tenant_rate.len() - 1);
         let size = new.metadata.size_hint.filter(|s| s.is_finite() && *s > 0.0).unwrap_or(1.0);
-        let patience = if new.patience.is_finite() { new.patience } else { class.deadline };
-        let key = new.metadata.key.as_deref().filter(|_| self.settings.warm_keys).map(hash);
+        let patience = if new.timeout.is_finite() { new.timeout } else { class.deadline };
+        let key = new.metadata.key.as_deref().filter(|_| self.settings.key_affinity).map(hash);
         let mut request = Request::new(new.metadata.class, self.now, patience, size, key);
         (request.once, request.body_pending) = (new.body_pending, new.body_pending);
         self.classes[new.metadata.class].size.add(size);
@@ -200,13 +201,13 @@
         let Some(request) = self.requests.get(&id) else { return };
         let never_sent = request.attempts.last().is_some_and(|attempt| attempt.never_sent);
         let repeatable = !request.cannot_resend
-            && request.attempts_made() < self.settings.limits.attempts as usize
+            && request.attempts_made() < self.settings.limits.max_attempts as usize
             && (!request.may_have_run() || self.settings.classes[request.class].effect == Effect::Safe);
         // Guards against a request lost while no endpoint is ready, or held until its client can try no more.
         // Where the system here is in the way, another try of the client would come no further.
         let whole = request.may_have_run() || never_sent;
         let end = if whole { 1.0 } else { 0.5 } * (request.deadline - request.arrived);
-        let last_chance = request.arrived + end - 2.0 * self.settings.tick;
+        let last_chance = request.arrived + end - 2.0 * self.settings.timer_resolution;
         if !repeatable || self.now >= last_chance {
             return self.finish(id, out);
         }
@@ -246,14 +247,14 @@
     /// Guards against full connection tables: many balancers that each keep a rarely used connection to every
     /// endpoint take up its capacity, and then its last free place.
     pub(super) fn close_idle(&mut self, out: &mut Vec<Action>) {
-        let (now, idle) = (self.now, self.settings.limits.conn_idle);
+        let (now, idle) = (self.now, self.settings.limits.connection_idle_timeout);
         let keep = if self.settings.prices.handshake > 0.0 { idle } else { IDLE_CONNECTION_TTL };
         for endpoint in self.endpoints.iter_mut().filter(|h| {
             h.connections.in_flight == 0 && h.connections.open > 0 && h.connections.last_idle_at + keep <= now
         }) {
             endpoint.connections.open = 0;
             if keep < idle {
-                out.push(Action::CloseIdle { endpoint: endpoint.entry.endpoint });
+                out.push(Action::CloseIdleConnections { endpoint: endpoint.entry.endpoint });
             }
         }
     }
@@ -278,7 +279,8 @@
         attempt.never_sent = outcome == Outcome::NeverSent;
         request.cannot_resend |= end.cannot_resend;
         let (h, counted) = (attempt.endpoint, if attempt.never_sent { attempt.counted } else { 0.0 });
-        let (dialled, time_up) = (attempt.dialled, self.now + self.settings.tick >= request.deadline);
+        let (dialled, time_up) =
+            (attempt.dialled, self.now + self.settings.timer_resolution >= request.deadline);
         let (class, size, over, arrived) = (request.class, request.size, request.ended, request.arrived);
         self.endpoints[h].connections.last_idle_at = self.now;
         // What was never sent tells nothing of what the endpoint can take.
@@ -292,7 +294,7 @@
             self.classes[class].kept.sum += 1.0;
         }
         self.learn(h, class, size, end, time_up);
-        if over || end.ended {
+        if over || end.request_ended {
             return self.request_over(id, out);
         }
         let Some(request) = self.requests.get(&id) else { return };
@@ -313,7 +315,7 @@
         let price = if matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent) { 0.0 } else { 1.0 };
         let never_sent = outcome == Outcome::NeverSent;
         // Guards against a spin of attempts that end at once: beyond its number, each one is paused for.
-        let at_once = !never_sent || request.attempts.len() < self.settings.limits.attempts as usize;
+        let at_once = !never_sent || request.attempts.len() < self.settings.limits.max_attempts as usize;
         if time && at_once && self.retry_budget >= price && self.dispatch_to_selected(id, out) {
             self.retry_budget -= price;
         } else if time && never_sent {
--- a/balancer/src/logic/endpoint_list.rs
+++ b/balancer/src/logic/endpoint_list.rs
@@ -5,7 +5,9 @@
 use super::{ENDPOINT_MEMORY, POLL_BACKOFF, RATE_MEMORY};
 use crate::endpoint::{Endpoint, OperatorOverride, remove_marked};
 use crate::hashing::rendezvous;
-use crate::interface::{Action, Discovery, EndpointEntry, EndpointId, EndpointState, EndpointUpdate, Millis};
+use crate::interface::{
+    Action, DiscoveryMode, EndpointEntry, EndpointId, EndpointState, EndpointUpdate, Millis,
+};
 use crate::state::{Balancer, TimerPurpose};
 
 /// An endpoint that the list has taken out is forgotten after so long: what was learnt of it has faded by
@@ -36,8 +38,8 @@
             let pause = self.random_unit() * (2.0 * (self.poll_backoff + poll_spread)).min(most);
             self.poll_backoff = (2.0 * self.poll_backoff + poll_spread).min(MAX_POLL_BACKOFF);
             self.watching = false;
-            if self.settings.discovery == Discovery::Subscribe {
-                self.set_timer(pause.max(self.settings.tick), TimerPurpose::Poll, out);
+            if self.settings.discovery_mode == DiscoveryMode::Pull {
+                self.set_timer(pause.max(self.settings.timer_resolution), TimerPurpose::Poll, out);
             }
             return;
         };
@@ -48,7 +50,7 @@
         if !changes {
             // Whoever is absent from a whole list is gone.
             self.endpoints.iter_mut().for_each(|endpoint| {
-                (endpoint.entry.phase, endpoint.listed_state) =
+                (endpoint.entry.state, endpoint.listed_state) =
                     (EndpointState::Removed, EndpointState::Removed);
             });
         }
@@ -72,24 +74,25 @@
         self.operator_overrides.insert(endpoint, hand);
         if let Some(&h) = self.index.get(&endpoint) {
             let known = &self.endpoints[h];
-            self.list(EndpointEntry { phase: known.listed_state, ..known.entry.clone() });
+            self.list(EndpointEntry { state: known.listed_state, ..known.entry.clone() });
             self.evaluate_list();
-            out.push(Action::CloseIdle { endpoint });
+            out.push(Action::CloseIdleConnections { endpoint });
         }
     }
 
     /// The time that the fleet's calls to discovery need, each in its turn, beyond the first pause.
     pub(super) fn poll_spread(&self) -> Millis {
-        let most = self.settings.contract.poll_within.map_or(f64::INFINITY, |within| within / 2.0);
-        (POLL_COST * f64::from(self.settings.balancers) - POLL_BACKOFF).clamp(0.0, most.min(MAX_POLL_BACKOFF))
+        let most = self.settings.contract.max_notification_delay.map_or(f64::INFINITY, |within| within / 2.0);
+        (POLL_COST * f64::from(self.settings.balancer_count) - POLL_BACKOFF)
+            .clamp(0.0, most.min(MAX_POLL_BACKOFF))
     }
 
     fn list(&mut self, mut entry: EndpointEntry) {
         // Kinds that the settings do not name share one group.
-        entry.kind = entry.kind.min(self.settings.kinds);
-        entry.zone = entry.zone.min(self.settings.zones - 1);
+        entry.kind = entry.kind.min(self.settings.kind_count);
+        entry.zone = entry.zone.min(self.settings.zone_count - 1);
         let place = rendezvous(0, u64::from(entry.endpoint.0));
-        let group = entry.kind * self.settings.zones + entry.zone;
+        let group = entry.kind * self.settings.zone_count + entry.zone;
         let fresh = Endpoint::new(group, place, self.classes.len(), entry);
         let hand = self.operator_overrides.get(&fresh.entry.endpoint).copied();
         let fresh = fresh.with_override(hand);
@@ -99,7 +102,7 @@
             return;
         };
         let endpoint = &mut self.endpoints[h];
-        if endpoint.entry.started == fresh.entry.started {
+        if endpoint.entry.started_at == fresh.entry.started_at {
             (endpoint.entry, endpoint.listed_state, endpoint.group) =
                 (fresh.entry, fresh.listed_state, group);
         } else {
@@ -133,7 +136,7 @@
         let over = over.keys().filter(|endpoint| known(endpoint).is_none());
         let numbers = self.index.keys().filter(|endpoint| known(endpoint) == Some(false)).chain(over);
         let numbers = numbers.filter(|endpoint| !stay.contains_key(endpoint));
-        out.extend(numbers.map(|&endpoint| Action::Forget { endpoint }));
+        out.extend(numbers.map(|&endpoint| Action::ReleaseEndpointId { endpoint }));
         self.operator_overrides = stay;
         if goes.contains(&true) {
             let places = remove_marked(&mut self.endpoints, &goes);
@@ -152,7 +155,7 @@
             .endpoints
             .iter()
             .enumerate()
-            .filter(|(_, endpoint)| endpoint.entry.phase == EndpointState::Up)
+            .filter(|(_, endpoint)| endpoint.entry.state == EndpointState::Up)
         {
             self.groups[endpoint.group].push(h);
             self.zones.get_mut(endpoint.entry.zone).into_iter().for_each(|zone| zone.endpoints += 1);
@@ -167,7 +170,7 @@
 
     /// Leaves the endpoints of a group that this balancer uses, about `part` of them.
     fn take_part(&mut self, group: &mut Vec<usize>, part: f64) {
-        let (len, balancers) = (group.len() as f64, f64::from(self.settings.balancers));
+        let (len, balancers) = (group.len() as f64, f64::from(self.settings.balancer_count));
         // Guards against endpoints that chance gives to many balancers: an arc of an order that all agree
         // on, begun by the balancer's number. What rests is made up for by the next in the order.
         let begins = len * self.fleet_position;
--- a/balancer/src/logic/learning.rs
+++ b/balancer/src/logic/learning.rs
@@ -62,7 +62,7 @@
             self.endpoints[h].responses.last_failure_at =
                 if outcome == Outcome::TimedOut { sent } else { self.now };
         }
-        if let Some(busy) = end.report.utilization {
+        if let Some(busy) = end.load_report.utilization {
             self.endpoints[h].utilization.add(busy.clamp(0.0, 1.0));
         }
         let answered = outcome == Outcome::Served;
--- a/balancer/src/logic/locality.rs
+++ b/balancer/src/logic/locality.rs
@@ -121,7 +121,10 @@
         }
         if self.all_left(None) {
             // Nobody is cold, and none else has left: the ramp is not needed.
-            self.zones.iter_mut().flat_map(|zone| &mut zone.left).for_each(|left| left.own_network = true);
+            self.zones
+                .iter_mut()
+                .flat_map(|zone| &mut zone.left)
+                .for_each(|left| left.own_network_suspected = true);
         }
         let strength = 2.0 * self.load.mean_priority_weight.max(f64::MIN_POSITIVE);
         for (tier, spill) in self.spill.iter_mut().enumerate() {
@@ -142,7 +145,7 @@
         out: &mut Vec<Action>,
     ) {
         let up = |h: &usize| {
-            self.endpoints[*h].entry.zone == z && self.endpoints[*h].entry.phase == EndpointState::Up
+            self.endpoints[*h].entry.zone == z && self.endpoints[*h].entry.state == EndpointState::Up
         };
         let ups: Vec<usize> = (0..self.endpoints.len()).filter(up).collect();
         let signs: Vec<usize> = ups.iter().copied().filter(|&h| bad[h]).collect();
@@ -158,8 +161,8 @@
             ups.iter().map(|&h| self.warmth(&self.endpoints[h])).sum::<f64>() / ups.len().max(1) as f64;
         let zone = &self.zones[z];
         match zone.left {
-            Some(left) if since(left.since) >= 2.min(ups.len()) && !ups.is_empty() => {
-                let open = if left.own_network { 1.0 } else { RAMP_FROM };
+            Some(left) if since(left.ejected_at) >= 2.min(ups.len()) && !ups.is_empty() => {
+                let open = if left.own_network_suspected { 1.0 } else { RAMP_FROM };
                 (self.zones[z].left, self.zones[z].open) = (None, open);
             }
             Some(_) if ups.iter().any(|&h| self.endpoints[h].responses.last_failure_at > zone.rest_until) => {
@@ -184,7 +187,8 @@
         let rest = ZONE_EJECTION_TIME
             * f64::from(1 << self.zones[z].rests.min(MAX_ZONE_EJECTION_DOUBLINGS))
             * (0.5 + self.random_unit());
-        let left = EjectedZone { zone: z, since: self.now, silent: hangs, own_network: false };
+        let left =
+            EjectedZone { zone: z, ejected_at: self.now, unresponsive: hangs, own_network_suspected: false };
         if self.zones[z].open >= 1.0 {
             self.predict_spillover(z);
         }
--- a/balancer/src/logic/outlier_detection.rs
+++ b/balancer/src/logic/outlier_detection.rs
@@ -25,7 +25,7 @@
 impl Balancer {
     /// Speed of a kind: the inverse of its smoothed latency, shrunk towards the mean of the others.
     pub(super) fn evaluate_kinds(&mut self) {
-        let zones = self.latencies.chunks(self.settings.zones);
+        let zones = self.latencies.chunks(self.settings.zone_count);
         let kinds: Vec<DecayingMean> = zones
             .map(|zones| zones.iter().fold(DecayingMean::default(), |all, zone| all.joined(*zone)))
             .collect();
@@ -37,7 +37,7 @@
         }
         // Guards against a jammed zone that hides behind its kind: own counts of a small balancer are all 0.
         for (g, latency) in self.latencies.iter().enumerate() {
-            let kind = self.kind_speeds[g / self.settings.zones];
+            let kind = self.kind_speeds[g / self.settings.zone_count];
             self.speeds[g] = 1.0 / latency.shrunk(1.0 / kind, PRIOR_RESPONSES);
         }
     }
@@ -75,14 +75,14 @@
         }
         // A cold endpoint counts for the part of it that is warm, lest new endpoints raise the limit at once.
         let ready = |h: &usize| {
-            self.endpoints[*h].entry.phase == EndpointState::Up && self.endpoints[*h].outlier.trials_left == 0
+            self.endpoints[*h].entry.state == EndpointState::Up && self.endpoints[*h].outlier.trials_left == 0
         };
         let ready = (0..self.endpoints.len()).filter(ready);
         self.load.ready_endpoints = ready.map(|h| self.warmth(&self.endpoints[h]) * self.open(h)).sum();
         // Counted among the warm: where most are cold, the few warm ones carry the load and may not rest.
         let warm: Vec<bool> = self.endpoints.iter().map(|endpoint| self.warmth(endpoint) >= 1.0).collect();
         let known =
-            self.endpoints.iter().zip(&warm).filter(|(h, warm)| h.entry.phase == EndpointState::Up && **warm);
+            self.endpoints.iter().zip(&warm).filter(|(h, warm)| h.entry.state == EndpointState::Up && **warm);
         let mut may_rest = known
             .map(|(h, _)| {
                 if h.outlier.trials_left > 0 { MAX_SLOW_EJECTED_SHARE - 1.0 } else { MAX_SLOW_EJECTED_SHARE }
@@ -118,7 +118,7 @@
     fn find_soundest(&mut self) {
         let mut soundest = vec![0.0; self.soundest.len()];
         let warm = |endpoint: &&Endpoint| {
-            endpoint.entry.phase == EndpointState::Up
+            endpoint.entry.state == EndpointState::Up
                 && endpoint.outlier.trials_left == 0
                 && self.warmth(endpoint) >= 1.0
         };
@@ -132,7 +132,7 @@
     /// Outlier ejection, on the endpoint's own evidence against its peers, never of too many at once.
     pub(super) fn consider_ejection(&mut self, h: usize) {
         let (mut ejected, mut fleet) = (DecayingMean::default(), DecayingMean::default());
-        for other in self.endpoints.iter().filter(|other| other.entry.phase == EndpointState::Up) {
+        for other in self.endpoints.iter().filter(|other| other.entry.state == EndpointState::Up) {
             ejected.add(f64::from(u8::from(other.outlier.trials_left > 0)));
             fleet = fleet.joined(other.outlier.failures);
         }
--- a/balancer/src/logic/selection.rs
+++ b/balancer/src/logic/selection.rs
@@ -65,7 +65,7 @@
     /// The chance that an endpoint can be reached: an open connection can, a new one as lately seen.
     fn reach(&self, h: usize) -> f64 {
         let (endpoint, usual) = (&self.endpoints[h], self.load.connect_failures.shrunk(0.0, PRIOR_RESPONSES));
-        if endpoint.connections.has_capacity(self.settings.limits.streams) {
+        if endpoint.connections.has_capacity(self.settings.limits.streams_per_connection) {
             1.0
         } else {
             1.0 - endpoint.connections.failures.shrunk(usual, 1.0)
@@ -83,7 +83,7 @@
                 * rendezvous(key, u64::from(endpoint.entry.endpoint.0))
         };
         let sound = |endpoint: &Endpoint| {
-            endpoint.entry.phase == EndpointState::Up && endpoint.selection_weight > MIN_HOME_WEIGHT
+            endpoint.entry.state == EndpointState::Up && endpoint.selection_weight > MIN_HOME_WEIGHT
         };
         let endpoints = self.endpoints.iter().enumerate().filter(|(_, endpoint)| sound(endpoint));
         let best = endpoints.map(|(h, endpoint)| (h, score(endpoint))).max_by(|a, b| a.1.total_cmp(&b.1));
@@ -115,7 +115,9 @@
             let endpoint = weighted(&ready, self.random_unit() * total)?;
             // Departure, where handshakes have a price: of equal queues, one behind an open connection.
             let dial = self.settings.prices.handshake > 0.0
-                && !self.endpoints[endpoint].connections.has_capacity(self.settings.limits.streams);
+                && !self.endpoints[endpoint]
+                    .connections
+                    .has_capacity(self.settings.limits.streams_per_connection);
             let queue =
                 f64::from(self.endpoints[endpoint].connections.in_flight) + if dial { 0.5 } else { 0.0 };
             shortest.offer(queue, endpoint, &mut self.rng);
--- a/balancer/src/logic/slow_start.rs
+++ b/balancer/src/logic/slow_start.rs
@@ -17,7 +17,7 @@
     /// The part of its capacity that an endpoint has at least: less than 1 while it is cold.
     pub(super) fn warmth(&self, endpoint: &Endpoint) -> f64 {
         let Contract { warm_up: cold, initial_capacity, .. } = self.settings.contract;
-        let age = endpoint.entry.started.map_or(1.0, |started| (self.now - started) / cold.max(1.0));
+        let age = endpoint.entry.started_at.map_or(1.0, |started| (self.now - started) / cold.max(1.0));
         (initial_capacity + (1.0 - initial_capacity) * age).clamp(initial_capacity.min(1.0), 1.0)
     }
 
@@ -52,7 +52,7 @@
     fn slow_start_turn(&self, h: usize, one: Millis) -> Option<f64> {
         let Contract { initial_capacity, overload_window, .. } = self.settings.contract;
         let (endpoint, warmth) = (&self.endpoints[h], self.warmth(&self.endpoints[h]));
-        let age = self.now - endpoint.entry.started.unwrap_or(self.now);
+        let age = self.now - endpoint.entry.started_at.unwrap_or(self.now);
         // Evenly from the first to the last moment, as warmth grows: what is borne between is more than that.
         let (first, last) = (self.turns_per_window(initial_capacity, one), self.turns_per_window(1.0, one));
         let borne = first
--- a/balancer/src/state.rs
+++ b/balancer/src/state.rs
@@ -76,11 +76,11 @@
         let mut rng = Pcg32::seed_from_u64(seed);
         let share = f64::from(rng.next_u32()) / (f64::from(u32::MAX) + 1.0);
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len().max(1));
-        let groups = (settings.kinds + 1) * settings.zones;
+        let groups = (settings.kind_count + 1) * settings.zone_count;
         Balancer {
             rng,
-            fleet_position: (f64::from(settings.me % settings.balancers) + share)
-                / f64::from(settings.balancers),
+            fleet_position: (f64::from(settings.balancer_index % settings.balancer_count) + share)
+                / f64::from(settings.balancer_count),
             now: 0.0,
             endpoints: Vec::new(),
             index: BTreeMap::new(),
@@ -94,7 +94,7 @@
             last_evaluated_at: None,
             classes: vec![ClassStats::default(); classes],
             latencies: vec![DecayingMean::default(); groups],
-            kind_speeds: vec![1.0; settings.kinds + 1],
+            kind_speeds: vec![1.0; settings.kind_count + 1],
             speeds: vec![1.0; groups],
             soundest: vec![1.0; groups],
             tenant_rate: vec![0.0; tenants],
@@ -144,6 +144,6 @@
     pub(crate) fn set_timer(&mut self, after: Millis, set_timer: TimerPurpose, out: &mut Vec<Action>) {
         self.next_token += 1;
         self.timers.insert(self.next_token, set_timer);
-        out.push(Action::Timer { at: self.now + after, token: self.next_token });
+        out.push(Action::SetTimer { at: self.now + after, token: self.next_token });
     }
 }
--- a/balancer/src/state/zone.rs
+++ b/balancer/src/state/zone.rs
@@ -45,8 +45,8 @@
 
     /// One for each zone, by how near they are.
     pub(crate) fn all(locality: &Locality) -> Vec<Zone> {
-        let region = locality.own.map(|own| locality.regions[own]);
-        let tier = |(zone, of): (usize, &usize)| match locality.own {
+        let region = locality.own_zone.map(|own| locality.regions[own]);
+        let tier = |(zone, of): (usize, &usize)| match locality.own_zone {
             None => 0,
             Some(own) if own == zone => 0,
             _ if Some(*of) == region => 1,
@@ -70,7 +70,7 @@
 
     /// Gets nothing from now on, until it has rested for so long and a trial was answered.
     pub(crate) fn leave(&mut self, now: Millis, rest: Millis, left: EjectedZone) {
-        let left = EjectedZone { since: now, own_network: false, ..left };
+        let left = EjectedZone { ejected_at: now, own_network_suspected: false, ..left };
         (self.open, self.left) = (0.0, Some(self.left.unwrap_or(left)));
         (self.rest_until, self.rests) = (now + rest, self.rests + 1);
     }
--- a/balancer/tests/admission.rs
+++ b/balancer/tests/admission.rs
@@ -44,7 +44,7 @@
 #[test]
 fn the_concurrency_limit_holds_from_the_first_moment() {
     let mut s = settings();
-    s.balancers = 4;
+    s.balancer_count = 4;
     let mut rig = Rig::new(s, endpoints(8));
     let sent = admitted(&mut rig);
     assert!((4..100).contains(&sent), "{sent}");
@@ -67,7 +67,9 @@
     let all = admitted(&mut calm_rig());
     let mut rig = calm_rig();
     let started = Some(rig.now);
-    rig.news(EndpointUpdate::Changes((11..19).map(|n| EndpointEntry { started, ..endpoint(n) }).collect()));
+    rig.news(EndpointUpdate::Changes(
+        (11..19).map(|n| EndpointEntry { started_at: started, ..endpoint(n) }).collect(),
+    ));
     let more = admitted(&mut rig);
     assert!(more as f64 <= 1.5 * all as f64, "{more} against {all}");
 }
@@ -145,7 +147,7 @@
     s.classes.push(Class { priority_weight: 3.0, ..class(Effect::Safe) });
     let parts = overload(s.clone(), |step| (step % 2, step % 2, false));
     assert!(parts[0] > parts[1] + 0.3, "the worth alone: {parts:?}");
-    s.goal = Goal { whole: 0.55, worst_class: 0.35, ..s.goal };
+    s.objective_weights = ObjectiveWeights { overall: 0.55, worst_class: 0.35, ..s.objective_weights };
     let parts = overload(s, |step| (step % 2, step % 2, false));
     assert!((parts[0] - parts[1]).abs() < 0.1, "both alike: {parts:?}");
 }
@@ -162,7 +164,7 @@
 #[test]
 fn the_start_of_the_concurrency_limit_outlasts_a_quiet_second() {
     let mut s = settings();
-    s.balancers = 4;
+    s.balancer_count = 4;
     let mut rig = Rig::new(s, endpoints(8));
     rig.pass(1000.0);
     assert_eq!(rig.sent_at_once(12, |_| {}).len(), 12);
@@ -172,7 +174,7 @@
 #[test]
 fn a_small_balancer_sees_strain() {
     let mut s = settings();
-    s.limits.attempts = 1;
+    s.limits.max_attempts = 1;
     let mut rig = Rig::new(s, endpoints(30));
     stream(&mut rig, 30_000.0, 500.0, |_, _| (190.0, Outcome::Served));
     assert!(rig.refusals() > 15, "{} of 60", rig.refusals());
@@ -225,7 +227,7 @@
     for body_pending in [true, false] {
         let mut rig = Rig::new(settings(), endpoints(3));
         rig.serve(200, 0, |_| 20.0);
-        let patience = |new: &mut NewRequest| (new.body_pending, new.patience) = (body_pending, 20_000.0);
+        let patience = |new: &mut NewRequest| (new.body_pending, new.timeout) = (body_pending, 20_000.0);
         let slow: Vec<RequestId> = (0..30).map(|_| rig.request_with(0, patience)).collect();
         rig.pass(2000.0);
         let refused = (0..50).filter(|_| {
@@ -241,7 +243,7 @@
         if body_pending {
             // Once they have come, they are work as any other.
             for id in &slow {
-                rig.event(Event::BodyComplete { id: *id, patience: 1000.0 });
+                rig.event(Event::BodyComplete { id: *id, timeout: 1000.0 });
             }
             rig.pass(600.0);
             assert!((0..50).any(|_| {
--- a/balancer/tests/common/fleet.rs
+++ b/balancer/tests/common/fleet.rs
@@ -73,9 +73,15 @@
 
     /// One balancer for each part of the traffic.
     pub fn seeded(settings: Settings, parts: Vec<f64>, list: Vec<EndpointEntry>, seed: u64) -> Fleet {
-        let s = Settings { balancers: parts.len() as u32, ..settings };
-        let rig = |me| Rig::seeded(Settings { me, ..s.clone() }, list.clone(), 5000 * seed + u64::from(me));
-        let rigs = (0..s.balancers).map(rig).collect();
+        let s = Settings { balancer_count: parts.len() as u32, ..settings };
+        let rig = |me| {
+            Rig::seeded(
+                Settings { balancer_index: me, ..s.clone() },
+                list.clone(),
+                5000 * seed + u64::from(me),
+            )
+        };
+        let rigs = (0..s.balancer_count).map(rig).collect();
         let total: f64 = parts.iter().sum();
         Fleet {
             rigs,
@@ -100,7 +106,7 @@
     pub fn warmth(&self, endpoint: EndpointId, at: f64) -> f64 {
         let Contract { warm_up: cold, initial_capacity, .. } = self.rigs[0].settings.contract;
         let entry = self.list.iter().find(|entry| entry.endpoint == endpoint);
-        let age = entry.and_then(|entry| entry.started).map_or(1.0, |started| (at - started) / cold);
+        let age = entry.and_then(|entry| entry.started_at).map_or(1.0, |started| (at - started) / cold);
         (initial_capacity + (1.0 - initial_capacity) * age).clamp(initial_capacity, 1.0)
     }
 
@@ -154,7 +160,7 @@
     pub fn put_back(&mut self, endpoint: EndpointId) {
         let at = self.now();
         let entry = self.list.iter_mut().find(|entry| entry.endpoint == endpoint).expect("listed");
-        entry.started = Some(at);
+        entry.started_at = Some(at);
         for rig in &mut self.rigs {
             rig.event(Event::Disabled { endpoint });
             rig.event(Event::Enabled { endpoint, at });
@@ -281,5 +287,5 @@
 }
 
 pub fn cold(id: u32, now: f64) -> EndpointEntry {
-    EndpointEntry { started: Some(now), ..endpoint(id) }
+    EndpointEntry { started_at: Some(now), ..endpoint(id) }
 }
--- a/balancer/tests/common/rig.rs
+++ b/balancer/tests/common/rig.rs
@@ -91,11 +91,11 @@
                 assert!(!taken.streaming, "sent beside a stream");
                 assert!(now < taken.deadline, "sent past the client's patience");
                 let made = taken.sent.iter().filter(|s| s.outcome != Some(Outcome::NeverSent)).count();
-                assert!(made < self.settings.limits.attempts as usize, "too many attempts");
+                assert!(made < self.settings.limits.max_attempts as usize, "too many attempts");
                 let out = taken.sent.iter().filter(|s| s.outcome.is_none()).count();
                 assert_eq!(out, 0, "a second copy");
                 let next = self.list.get(endpoint).expect("sent to a host of the list");
-                assert_eq!(next.phase, EndpointState::Up, "sent to a draining or gone host");
+                assert_eq!(next.state, EndpointState::Up, "sent to a draining or gone host");
                 for earlier in taken.sent.iter().filter(|s| s.may_have_run()) {
                     let first = &self.list[&earlier.endpoint];
                     match self.settings.classes[taken.class].effect {
@@ -119,10 +119,10 @@
                 taken.sent.push(Sent { at: now, endpoint: *endpoint, timeout: *timeout, outcome: None });
             }
             Action::Cancel { id, attempt } => {
-                assert!(self.settings.limits.cancelling, "cancelled where that is forbidden");
+                assert!(self.settings.limits.cancellation, "cancelled where that is forbidden");
                 assert!((*attempt as usize) < self.requests[id].sent.len(), "cancelled what was never sent");
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let taken = &self.requests[id];
                 let harmless = match self.settings.classes.get(taken.class).map(|c| c.effect) {
                     Some(Effect::Safe) | None => true,
@@ -133,7 +133,7 @@
                 self.end(*id, Ending::Refused);
             }
             Action::Fail { id } => self.end(*id, Ending::Failed),
-            Action::Timer { at, token } => {
+            Action::SetTimer { at, token } => {
                 assert!(at.is_finite() && *at > now, "a timer that is not ahead");
                 self.timers.push((*at, *token));
             }
@@ -145,10 +145,10 @@
                 assert!(self.settings.limits.peer_messages, "told where that is forbidden");
                 assert!(content.len() <= 256, "too long a message");
             }
-            Action::CloseIdle { endpoint } => assert!(self.list.contains_key(endpoint)),
-            Action::Forget { endpoint } => {
+            Action::CloseIdleConnections { endpoint } => assert!(self.list.contains_key(endpoint)),
+            Action::ReleaseEndpointId { endpoint } => {
                 let gone =
-                    self.list.remove(endpoint).is_none_or(|entry| entry.phase == EndpointState::Removed);
+                    self.list.remove(endpoint).is_none_or(|entry| entry.state == EndpointState::Removed);
                 assert!(gone, "forgot a host of the list");
                 let open = self.requests.values().filter(|taken| taken.ending.is_none());
                 let refers = open.flat_map(|taken| &taken.sent).any(|sent| sent.endpoint == *endpoint);
@@ -160,7 +160,7 @@
 
     fn end(&mut self, id: RequestId, ending: Ending) {
         let now = self.now;
-        let grace = self.settings.contract.grace_to_answer;
+        let grace = self.settings.contract.response_grace;
         let taken = self.requests.get_mut(&id).expect("answered a request that was taken");
         assert_eq!(taken.ending, None, "a second final answer");
         assert!(now <= taken.deadline + grace, "a final answer after the client's time");
@@ -174,12 +174,12 @@
                 self.list.extend(entries.iter().map(|e| (e.endpoint, e.clone())));
             }
             EndpointUpdate::FullSnapshot(entries) | EndpointUpdate::CachedSnapshot(entries) => {
-                self.list.values_mut().for_each(|e| e.phase = EndpointState::Removed);
+                self.list.values_mut().for_each(|e| e.state = EndpointState::Removed);
                 self.list.extend(entries.iter().map(|e| (e.endpoint, e.clone())));
             }
             EndpointUpdate::Failed => {}
         }
-        self.event(Event::Endpoints(news))
+        self.event(Event::EndpointUpdate(news))
     }
 
     pub fn request(&mut self, class: usize) -> RequestId {
@@ -191,9 +191,9 @@
         let id = RequestId(self.next);
         let patience = self.settings.classes.get(class).map_or(500.0, |c| c.deadline);
         let metadata = RequestMetadata { class, ..RequestMetadata::default() };
-        let mut new = NewRequest { id, patience, body_pending: false, metadata };
+        let mut new = NewRequest { id, timeout: patience, body_pending: false, metadata };
         change(&mut new);
-        let deadline = self.now + new.patience;
+        let deadline = self.now + new.timeout;
         let taken =
             Taken { class, deadline, sent: Vec::new(), ending: None, ended_at: 0.0, streaming: false };
         self.requests.insert(id, taken);
@@ -223,13 +223,13 @@
             taken.ended_at = self.now;
         }
         let ended = taken.ending.is_some();
-        self.event(Event::Finished(AttemptEnd {
+        self.event(Event::AttemptFinished(AttemptEnd {
             id,
             attempt: n,
             outcome,
             latency,
-            ended,
-            report,
+            request_ended: ended,
+            load_report: report,
             cannot_resend: false,
         }))
     }
@@ -240,7 +240,7 @@
         {
             taken.ending = Some(Ending::ClientGone);
         }
-        self.event(Event::ClientGone { id })
+        self.event(Event::ClientDisconnected { id })
     }
 
     pub fn open(&self, id: RequestId) -> Vec<u32> {
@@ -274,7 +274,7 @@
                 (Some((at, token)), _) => {
                     self.timers.remove(0);
                     self.now = self.now.max(at);
-                    self.event(Event::Timer { token });
+                    self.event(Event::TimerFired { token });
                 }
                 (None, Some((deadline, id, n))) => {
                     self.now = self.now.max(deadline);
@@ -300,7 +300,7 @@
 
     /// How many refusals there have been.
     pub fn refusals(&self) -> usize {
-        self.actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
+        self.actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
     }
 
     /// Of `n` requests that come at once, as `change` makes them, the endpoints of those that are sent.
@@ -321,7 +321,7 @@
         let (mut sends, mut open) = (Vec::new(), Vec::new());
         for step in 0..steps {
             if step == fresh.0 {
-                let entry = EndpointEntry { started: Some(self.now), ..fresh.1.clone() };
+                let entry = EndpointEntry { started_at: Some(self.now), ..fresh.1.clone() };
                 self.news(EndpointUpdate::Changes(vec![entry]));
             }
             let id = self.request(0);
--- a/balancer/tests/endpoint_list.rs
+++ b/balancer/tests/endpoint_list.rs
@@ -20,10 +20,10 @@
 #[test]
 fn the_subsets_of_a_fleet_share_its_endpoints_evenly() {
     let mut s = settings();
-    s.balancers = 100;
+    s.balancer_count = 100;
     let mut shares = std::collections::BTreeMap::new();
     for me in 0..100 {
-        let mut rig = Rig::seeded(Settings { me, ..s.clone() }, endpoints(20), u64::from(me));
+        let mut rig = Rig::seeded(Settings { balancer_index: me, ..s.clone() }, endpoints(20), u64::from(me));
         used(&mut rig).into_iter().for_each(|endpoint| *shares.entry(endpoint).or_insert(0) += 1);
     }
     let (least, most) = (shares.values().min(), shares.values().max());
@@ -32,7 +32,7 @@
 
 #[test]
 fn an_endpoint_that_rests_is_made_up_for_in_its_subset() {
-    let mut rig = Rig::new(Settings { balancers: 100, ..settings() }, endpoints(20));
+    let mut rig = Rig::new(Settings { balancer_count: 100, ..settings() }, endpoints(20));
     let before = used(&mut rig);
     let bad = *before.first().expect("some host");
     let fails =
@@ -46,8 +46,8 @@
 #[test]
 fn a_subscriber_watches_at_once_and_asks_again_with_backoff() {
     let mut s = settings();
-    s.discovery = Discovery::Subscribe;
-    s.contract.poll_within = Some(10_000.0);
+    s.discovery_mode = DiscoveryMode::Pull;
+    s.contract.max_notification_delay = Some(10_000.0);
     let mut rig = Rig::new(s, endpoints(2));
     let watches = |rig: &Rig| rig.actions.iter().filter(|a| **a == Action::Watch).count();
     assert_eq!(watches(&rig), 1);
@@ -74,10 +74,11 @@
 #[test]
 fn a_large_fleet_does_not_ask_discovery_together_and_asks_in_time() {
     let mut s = settings();
-    s.balancers = 100;
-    s.discovery = Discovery::Subscribe;
-    s.contract.poll_within = Some(10_000.0);
-    let fleet = (0..100).map(|me| Rig::seeded(Settings { me, ..s.clone() }, endpoints(2), u64::from(me)));
+    s.balancer_count = 100;
+    s.discovery_mode = DiscoveryMode::Pull;
+    s.contract.max_notification_delay = Some(10_000.0);
+    let fleet = (0..100)
+        .map(|me| Rig::seeded(Settings { balancer_index: me, ..s.clone() }, endpoints(2), u64::from(me)));
     let mut fleet: Vec<Rig> = fleet.collect();
     let asked = |rig: &Rig| rig.actions.iter().filter(|a| **a == Action::Watch).count();
     let (mut heard, mut last) = (vec![0; fleet.len()], vec![0; fleet.len()]);
@@ -99,7 +100,7 @@
     // Full jitter over 2.8 s: a call each 1.4 s, and hardly ever three times as many at once as that.
     assert!(*most <= 17 && total < 1400, "at most {most} in a tenth of a second, {total} in all");
     // One that knows no endpoint cannot wait for a turn.
-    s.me = 7;
+    s.balancer_index = 7;
     assert_eq!(asked(&Rig::new(s, Vec::new())), 1);
 }
 
@@ -107,9 +108,9 @@
 /// that shows leave less for the pause.
 #[test]
 fn a_watch_that_broke_is_made_up_for_in_time() {
-    let s = Settings { balancers: 300, discovery: Discovery::Subscribe, ..settings() };
+    let s = Settings { balancer_count: 300, discovery_mode: DiscoveryMode::Pull, ..settings() };
     for me in 0..100 {
-        let mut rig = Rig::seeded(Settings { me, ..s.clone() }, Vec::new(), u64::from(me));
+        let mut rig = Rig::seeded(Settings { balancer_index: me, ..s.clone() }, Vec::new(), u64::from(me));
         let asked = |rig: &Rig| rig.actions.iter().filter(|a| **a == Action::Watch).count();
         rig.news(EndpointUpdate::FullSnapshot(endpoints(2)));
         let before = asked(&rig);
@@ -123,7 +124,7 @@
 #[test]
 fn a_failed_call_keeps_the_list() {
     let mut s = settings();
-    s.discovery = Discovery::Subscribe;
+    s.discovery_mode = DiscoveryMode::Pull;
     let mut rig = Rig::new(s, endpoints(2));
     rig.news(EndpointUpdate::Failed);
     let id = rig.request(0);
@@ -143,7 +144,10 @@
     let mut rig = Rig::new(settings(), endpoints(4));
     stream(&mut rig, 2000.0, 5.0, first_fails);
     let cold = rig.settings.contract.warm_up;
-    rig.news(EndpointUpdate::Changes(vec![EndpointEntry { started: Some(rig.now - cold), ..endpoint(1) }]));
+    rig.news(EndpointUpdate::Changes(vec![EndpointEntry {
+        started_at: Some(rig.now - cold),
+        ..endpoint(1)
+    }]));
     let count = stream(&mut rig, 1000.0, 5.0, |_, _| (20.0, Outcome::Served));
     assert!(count[&EndpointId(1)] > 20, "{count:?}");
 }
@@ -154,9 +158,9 @@
     let cases: [(&str, Change); 8] = [
         ("classes", |s| s.classes.clear()),
         ("zone", |s| s.zone = 5),
-        ("balancers", |s| s.balancers = 0),
-        ("limits.attempts", |s| s.limits.attempts = 0),
-        ("tick", |s| s.tick = -1.0),
+        ("balancers", |s| s.balancer_count = 0),
+        ("limits.attempts", |s| s.limits.max_attempts = 0),
+        ("tick", |s| s.timer_resolution = -1.0),
         ("contract.fall", |s| s.contract.overload_window = f64::NAN),
         ("classes[0].aim", |s| s.classes[0].latency_objective = f64::INFINITY),
         ("prices.waste", |s| s.prices.waste = -0.1),
@@ -179,21 +183,21 @@
         attempt: 3,
         outcome: Outcome::Served,
         latency: 1.0,
-        ended: true,
-        report: LoadReport::default(),
+        request_ended: true,
+        load_report: LoadReport::default(),
         cannot_resend: false,
     };
     let events = [
-        Event::Finished(end),
+        Event::AttemptFinished(end),
         Event::FirstByte { id, attempt: 0 },
-        Event::ClientGone { id },
-        Event::Timer { token: 123_456 },
-        Event::Peer { from: 7, content: vec![1, 2, 3] },
-        Event::Probed {
+        Event::ClientDisconnected { id },
+        Event::TimerFired { token: 123_456 },
+        Event::PeerMessage { from: 7, content: vec![1, 2, 3] },
+        Event::ProbeFinished {
             endpoint: EndpointId(77),
             outcome: Outcome::Served,
             latency: 1.0,
-            report: LoadReport::default(),
+            load_report: LoadReport::default(),
         },
     ];
     for event in events {
@@ -202,7 +206,7 @@
     let known = rig.request(0);
     rig.finish(known, 0, Outcome::Served);
     let again = AttemptEnd { id: known, attempt: 0, ..end };
-    assert!(rig.event(Event::Finished(again)).is_empty(), "already over");
+    assert!(rig.event(Event::AttemptFinished(again)).is_empty(), "already over");
 }
 
 #[test]
--- a/balancer/tests/fleet.rs
+++ b/balancer/tests/fleet.rs
@@ -57,10 +57,10 @@
         let warm: Vec<EndpointEntry> = (1..=6).map(endpoint).collect();
         let mut fleet = Fleet::under(s.clone(), count, false, warm.clone());
         fleet.run(2000.0, 140.0);
-        let unused = EndpointEntry { phase: EndpointState::Draining, ..cold(9, fleet.now()) };
+        let unused = EndpointEntry { state: EndpointState::Draining, ..cold(9, fleet.now()) };
         fleet.tell(warm.into_iter().chain([unused.clone()]).collect());
         fleet.run(15_000.0, 140.0);
-        fleet.tell(vec![EndpointEntry { phase: EndpointState::Up, ..unused }]);
+        fleet.tell(vec![EndpointEntry { state: EndpointState::Up, ..unused }]);
         fleet.run(1500.0, 2000.0);
         let worst = fleet.worst(EndpointId(9), 0.0);
         assert!(worst <= 1.0, "{count} balancers: {worst} times what it bears");
--- a/balancer/tests/forgetting.rs
+++ b/balancer/tests/forgetting.rs
@@ -9,7 +9,7 @@
 
 fn forgotten(actions: &[Action]) -> Vec<u32> {
     let endpoint = |action: &Action| match action {
-        Action::Forget { endpoint } => Some(endpoint.0),
+        Action::ReleaseEndpointId { endpoint } => Some(endpoint.0),
         _ => None,
     };
     actions.iter().filter_map(endpoint).collect()
@@ -47,7 +47,7 @@
     let mut settings = settings();
     settings.classes = vec![class(Effect::Keyed { scope: KeyScope::All, ttl: 1e6 })];
     let mut rig = Rig::new(settings, endpoints(3));
-    let id = rig.request_with(0, |new| new.patience = 3.0 * REMEMBERED);
+    let id = rig.request_with(0, |new| new.timeout = 3.0 * REMEMBERED);
     let first = rig.endpoint_of(id, 0);
     // The other endpoints change places in memory when those before them go.
     let stays = [8, 9].map(endpoint).to_vec();
--- a/balancer/tests/four_rules.rs
+++ b/balancer/tests/four_rules.rs
@@ -30,7 +30,7 @@
         rig.pass(500.0);
         assert_eq!(rig.requests[&id].ending, Some(Ending::Refused));
         let advice = told.then_some(50.0); // a quarter of the latency objective
-        assert!(rig.actions.contains(&Action::Refuse { id, retry_after: advice }), "{:?}", rig.actions);
+        assert!(rig.actions.contains(&Action::Reject { id, retry_after: advice }), "{:?}", rig.actions);
     }
 }
 
@@ -144,10 +144,10 @@
         let id = rig.request(0);
         let before = never_send(&mut rig, id, 250.0).len();
         if waits {
-            rig.event(Event::ClientClosed { id });
+            rig.event(Event::ClientHalfClosed { id });
         } else {
             rig.pass(100.0);
-            rig.event(Event::ClientClosed { id });
+            rig.event(Event::ClientHalfClosed { id });
             rig.open(id).into_iter().for_each(|attempt| drop(rig.finish(id, attempt, Outcome::NeverSent)));
         }
         assert_eq!(rig.requests[&id].ending, Some(Ending::Refused));
@@ -161,7 +161,7 @@
 #[test]
 fn what_was_never_sent_counts_for_no_work() {
     let mut list = endpoints(2);
-    list[1].started = Some(1000.0);
+    list[1].started_at = Some(1000.0);
     let served = |never_sent: usize| {
         let mut rig = Rig::new(settings(), list.clone());
         let mut to_cold = 0;
@@ -249,7 +249,7 @@
 fn nothing_goes_to_an_endpoint_from_the_word_of_its_drain_on() {
     let mut rig = Rig::new(settings(), endpoints(3));
     for phase in [EndpointState::Draining, EndpointState::Removed] {
-        rig.news(EndpointUpdate::Changes(vec![EndpointEntry { phase, ..endpoint(2) }]));
+        rig.news(EndpointUpdate::Changes(vec![EndpointEntry { state: phase, ..endpoint(2) }]));
         let count = rig.serve(60, 0, |_| 5.0);
         assert!(!count.contains_key(&EndpointId(2)), "{phase:?}");
         rig.news(EndpointUpdate::Changes(vec![endpoint(2)]));
@@ -269,10 +269,10 @@
 fn an_endpoint_taken_out_by_hand_gets_nothing_whatever_the_list_says() {
     let mut rig = Rig::new(settings(), endpoints(3));
     let closed = rig.event(Event::Disabled { endpoint: EndpointId(2) });
-    assert!(closed.contains(&Action::CloseIdle { endpoint: EndpointId(2) }), "{closed:?}");
-    assert_eq!(rig.balancer.avoided(rig.now).collect::<Vec<_>>(), [EndpointId(2)]);
-    let restarted = EndpointEntry { started: Some(rig.now), ..endpoint(2) };
-    let draining = EndpointEntry { phase: EndpointState::Draining, ..endpoint(2) };
+    assert!(closed.contains(&Action::CloseIdleConnections { endpoint: EndpointId(2) }), "{closed:?}");
+    assert_eq!(rig.balancer.excluded_endpoints(rig.now).collect::<Vec<_>>(), [EndpointId(2)]);
+    let restarted = EndpointEntry { started_at: Some(rig.now), ..endpoint(2) };
+    let draining = EndpointEntry { state: EndpointState::Draining, ..endpoint(2) };
     for news in [
         EndpointUpdate::Changes(vec![endpoint(2)]),
         EndpointUpdate::Changes(vec![draining]),
@@ -288,7 +288,7 @@
     // Twice out needs one word back.
     rig.event(Event::Disabled { endpoint: EndpointId(2) });
     rig.event(Event::Enabled { endpoint: EndpointId(2), at: rig.now });
-    assert_eq!(rig.balancer.avoided(rig.now).count(), 0);
+    assert_eq!(rig.balancer.excluded_endpoints(rig.now).count(), 0);
     assert!(rig.serve(60, 0, |_| 5.0).contains_key(&EndpointId(2)), "back in use");
 }
 
@@ -313,7 +313,7 @@
     rig.event(Event::Enabled { endpoint: EndpointId(2), at: back });
     // Lists that know nothing of a restart, or of one before, do not make it warm.
     rig.news(EndpointUpdate::FullSnapshot(endpoints(4)));
-    rig.news(EndpointUpdate::Changes(vec![EndpointEntry { started: Some(back - 2500.0), ..endpoint(2) }]));
+    rig.news(EndpointUpdate::Changes(vec![EndpointEntry { started_at: Some(back - 2500.0), ..endpoint(2) }]));
     let served = rig.serve(400, 0, |_| 20.0);
     let of = |id| f64::from(served.get(&EndpointId(id)).copied().unwrap_or(0) as u32);
     assert!(of(2) > 0.0 && of(2) < 0.7 * of(1), "{served:?}");
@@ -331,11 +331,11 @@
             attempt: 0,
             outcome: Outcome::ConnectFailed,
             latency: 5.0,
-            ended: false,
-            report: LoadReport::default(),
+            request_ended: false,
+            load_report: LoadReport::default(),
             cannot_resend,
         };
-        rig.event(Event::Finished(end));
+        rig.event(Event::AttemptFinished(end));
         assert_eq!(rig.requests[&id].sent.len(), if cannot_resend { 1 } else { 2 }, "spent: {cannot_resend}");
         assert_eq!(
             rig.requests[&id].ending,
--- a/balancer/tests/locality.rs
+++ b/balancer/tests/locality.rs
@@ -19,8 +19,8 @@
 /// the third one of kind 1 in zone 0.
 fn zoned() -> (Settings, Vec<EndpointEntry>) {
     let mut s = settings();
-    (s.zones, s.kinds) = (3, 2);
-    s.locality = Some(Locality { own: Some(0), regions: vec![0, 0, 1] });
+    (s.zone_count, s.kind_count) = (3, 2);
+    s.locality = Some(Locality { own_zone: Some(0), regions: vec![0, 0, 1] });
     let list =
         (0..18).map(|n| EndpointEntry { zone: zone_of(EndpointId(n)), kind: n as usize % 2, ..endpoint(n) });
     (s, list.collect())
@@ -221,7 +221,7 @@
     world.run(3000.0, 20.0, |_, _, _| SERVED);
     world.run(3000.0, 20.0, |_, _, _| None);
     let left = world.rig.balancer.ejected_zones();
-    assert!(left.len() == 3 && left.iter().all(|left| left.own_network), "{left:?}");
+    assert!(left.len() == 3 && left.iter().all(|left| left.own_network_suspected), "{left:?}");
     let back = world.rig.now;
     world.run(4000.0, 20.0, |_, _, _| SERVED);
     assert_eq!(world.left(), [0; 0]);
@@ -237,7 +237,8 @@
     world.run(3000.0, 20.0, |_, _, _| SERVED);
     world.run(2000.0, 20.0, |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED });
     let back = world.rig.now;
-    let entries = (0..6).map(|n| EndpointEntry { started: Some(back), kind: n as usize % 2, ..endpoint(n) });
+    let entries =
+        (0..6).map(|n| EndpointEntry { started_at: Some(back), kind: n as usize % 2, ..endpoint(n) });
     world.rig.news(EndpointUpdate::Changes(entries.collect()));
     let mut shares = Vec::new();
     for _ in 0..(2.0 * cold / 500.0) as usize {
@@ -299,7 +300,7 @@
 #[test]
 fn without_an_own_zone_all_are_alike_and_one_that_fails_is_left() {
     let (mut s, list) = zoned();
-    s.locality = Some(Locality { own: None, regions: vec![0, 0, 1] });
+    s.locality = Some(Locality { own_zone: None, regions: vec![0, 0, 1] });
     let mut world = World::new((s, list));
     world.run(5000.0, 1.5, queues());
     let counts = world.to_zones(0.0);
@@ -386,7 +387,7 @@
     world.run(600.0, 20.0, dead);
     assert_eq!(world.left(), [0]);
     let gone =
-        (0..6).map(|n| EndpointEntry { phase: EndpointState::Removed, kind: n as usize % 2, ..endpoint(n) });
+        (0..6).map(|n| EndpointEntry { state: EndpointState::Removed, kind: n as usize % 2, ..endpoint(n) });
     world.rig.news(EndpointUpdate::Changes(gone.collect()));
     world.run(5000.0, 20.0, dead);
     let from = world.rig.now;
--- a/balancer/tests/ordinary_path.rs
+++ b/balancer/tests/ordinary_path.rs
@@ -6,7 +6,7 @@
 
 fn two_kinds(n: u32) -> (Settings, Vec<EndpointEntry>) {
     let mut s = settings();
-    s.kinds = 2;
+    s.kind_count = 2;
     let mut list = endpoints(n);
     for entry in &mut list {
         entry.kind = (entry.endpoint.0 % 2) as usize; // odd ids: kind 1
@@ -111,7 +111,7 @@
     let (s, list) = two_kinds(8);
     let mut late = [0; 2];
     for seed in 0..20 {
-        let mut rig = Rig::seeded(Settings { balancers: 100, ..s.clone() }, list.clone(), seed);
+        let mut rig = Rig::seeded(Settings { balancer_count: 100, ..s.clone() }, list.clone(), seed);
         let mut open: Vec<(f64, RequestId)> = Vec::new();
         for step in 0..300 {
             let id = rig.request(0);
@@ -164,7 +164,7 @@
     // Kinds 0 (10 ms) and 1 (30 ms) have answers; kind 2 is new. Its speed lies between theirs, so with
     // nothing in flight anywhere the fast kind goes first.
     let mut s = settings();
-    s.kinds = 3;
+    s.kind_count = 3;
     let list: Vec<_> = (1..=2).map(|n| EndpointEntry { kind: n as usize - 1, ..endpoint(n) }).collect();
     let mut rig = Rig::new(s, list);
     rig.serve(300, 0, |h| if h == EndpointId(1) { 10.0 } else { 30.0 });
@@ -179,7 +179,7 @@
 #[test]
 fn a_warm_key_has_a_home_that_does_not_overflow() {
     let mut s = settings();
-    s.warm_keys = true;
+    s.key_affinity = true;
     let mut rig = Rig::new(s.clone(), endpoints(6));
     let keyed = |new: &mut NewRequest| new.metadata.key = Some("customer:17".into());
     let mut homes = std::collections::BTreeSet::new();
@@ -204,7 +204,7 @@
 #[test]
 fn occasional_instant_errors_do_not_outweigh_slower_answers() {
     let (s, list) = two_kinds(2);
-    let mut rig = Rig::new(Settings { limits: Limits { attempts: 1, ..s.limits.clone() }, ..s }, list);
+    let mut rig = Rig::new(Settings { limits: Limits { max_attempts: 1, ..s.limits.clone() }, ..s }, list);
     let (mut first_to_failing, mut sent) = (0, 0);
     for round in 0..300 {
         let pair = [rig.request(0), rig.request(0)];
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -97,8 +97,8 @@
 #[test]
 fn errors_are_not_speed_even_where_ejection_is_exhausted() {
     let mut s = settings();
-    s.kinds = 2;
-    s.limits.attempts = 1;
+    s.kind_count = 2;
+    s.limits.max_attempts = 1;
     let list = endpoints(9)
         .into_iter()
         .map(|h| EndpointEntry { kind: usize::from(h.endpoint.0 > 3), ..h })
@@ -148,7 +148,7 @@
 #[test]
 fn a_jammed_zone_loses_traffic() {
     let mut s = settings();
-    s.zones = 2;
+    s.zone_count = 2;
     let list = (1..=8).map(|n| EndpointEntry { zone: n as usize % 2, cell: n % 2, ..endpoint(n) }).collect();
     let mut rig = Rig::new(s, list);
     let latency = |h: EndpointId| if h.0.is_multiple_of(2) { 30.0 } else { 20.0 };
--- a/balancer/tests/random_events.rs
+++ b/balancer/tests/random_events.rs
@@ -25,17 +25,17 @@
         class.priority_weight = f64::from(1 + below(rng, 10));
         class.late_priority_weight = if below(rng, 2) == 0 { 0.0 } else { 0.3 };
     }
-    s.balancers = 1 + below(rng, 30);
-    s.kinds = 1 + below(rng, 4) as usize;
-    s.zones = 1 + below(rng, 3) as usize;
-    s.zone = below(rng, s.zones as u32) as usize;
-    s.tenants = (0..below(rng, 4)).map(|_| Tenant { portion: 0.3, quota_per_s: 40.0 }).collect();
+    s.balancer_count = 1 + below(rng, 30);
+    s.kind_count = 1 + below(rng, 4) as usize;
+    s.zone_count = 1 + below(rng, 3) as usize;
+    s.zone = below(rng, s.zone_count as u32) as usize;
+    s.tenants = (0..below(rng, 4)).map(|_| Tenant { service_share: 0.3, quota_per_s: 40.0 }).collect();
     s.over_quota_weight = 0.05;
     s.weight_by_work = below(rng, 2) == 0;
-    s.warm_keys = below(rng, 2) == 0;
-    s.discovery = if below(rng, 2) == 0 { Discovery::Automatic } else { Discovery::Subscribe };
-    s.limits.attempts = 1 + below(rng, 5);
-    s.limits.cancelling = below(rng, 2) == 0;
+    s.key_affinity = below(rng, 2) == 0;
+    s.discovery_mode = if below(rng, 2) == 0 { DiscoveryMode::Push } else { DiscoveryMode::Pull };
+    s.limits.max_attempts = 1 + below(rng, 5);
+    s.limits.cancellation = below(rng, 2) == 0;
     s.limits.hedging = below(rng, 2) == 0;
     s.limits.probes = below(rng, 2) == 0;
     s.limits.peer_messages = below(rng, 2) == 0;
@@ -53,11 +53,11 @@
         EndpointState::Removed,
     ];
     EndpointEntry {
-        kind: id as usize % (s.kinds + 1), // one kind more than the settings name
-        zone: id as usize % s.zones,
-        cell: id % 3 + 10 * (id % s.zones as u32),
-        started: (below(rng, 3) == 0).then_some(now - f64::from(below(rng, 9000))),
-        phase: phases[below(rng, 6) as usize],
+        kind: id as usize % (s.kind_count + 1), // one kind more than the settings name
+        zone: id as usize % s.zone_count,
+        cell: id % 3 + 10 * (id % s.zone_count as u32),
+        started_at: (below(rng, 3) == 0).then_some(now - f64::from(below(rng, 9000))),
+        state: phases[below(rng, 6) as usize],
         ..endpoint(id)
     }
 }
@@ -97,7 +97,7 @@
                 let draw =
                     [below(&mut rng, 900), below(&mut rng, 5), below(&mut rng, 20), below(&mut rng, 3)];
                 rig.request_with(class, |new| {
-                    new.patience = f64::from(draw[0]) + 100.0;
+                    new.timeout = f64::from(draw[0]) + 100.0;
                     new.metadata.tenant = draw[1] as usize;
                     new.metadata.key = Some(format!("key:{}", draw[2]));
                     new.metadata.size_hint = (draw[3] == 0).then_some(f64::from(draw[0]) / 10.0 + 1.0);
--- a/balancer/tests/retries.rs
+++ b/balancer/tests/retries.rs
@@ -56,7 +56,7 @@
 fn what_is_out_for_a_client_that_has_gone_is_called_off_where_that_is_allowed() {
     for allowed in [true, false] {
         let mut s = settings();
-        s.limits.cancelling = allowed;
+        s.limits.cancellation = allowed;
         let mut rig = Rig::new(s, endpoints(3));
         let id = rig.request(0);
         let out = rig.gone(id);
@@ -70,7 +70,7 @@
     let closed = |gap: f64| {
         let mut rig = Rig::new(settings(), endpoints(3));
         stream(&mut rig, 10_000.0, gap, |_, _| (20.0, Outcome::Served));
-        rig.actions.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count()
+        rig.actions.iter().filter(|a| matches!(a, Action::CloseIdleConnections { .. })).count()
     };
     assert!(closed(2000.0) >= 4);
     assert_eq!(closed(30.0), 0);
@@ -134,7 +134,7 @@
             rig.finish(id, attempt, outcome);
         }
         let request = &rig.requests[&id];
-        assert_eq!(request.sent.len(), rig.settings.limits.attempts as usize, "{outcome:?}");
+        assert_eq!(request.sent.len(), rig.settings.limits.max_attempts as usize, "{outcome:?}");
         assert_eq!(request.ending, Some(Ending::Refused), "{outcome:?}");
         assert!(request.ended_at < request.deadline, "{outcome:?}");
     }
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -14,7 +14,7 @@
     let mut rig = Rig::new(s, endpoints(4));
     let started = rig.now + 2000.0;
     let sends = rig.drive(6000, 2.0, (1000, endpoint(9)), |_| 20.0);
-    assert_eq!(rig.list[&EndpointId(9)].started, Some(started));
+    assert_eq!(rig.list[&EndpointId(9)].started_at, Some(started));
     let in_window = |to: f64, cold_one: bool| {
         let hit = |(at, h): &&(f64, EndpointId)| {
             *at > to - overload_window && *at <= to && (*h == EndpointId(9)) == cold_one
@@ -38,7 +38,7 @@
 fn many_heavy_requests_cannot_spend_a_cold_budget_at_once() {
     let mut rig = Rig::new(settings(), endpoints(4));
     rig.serve(200, 0, |_| 20.0);
-    let fresh = EndpointEntry { started: Some(rig.now), ..endpoint(9) };
+    let fresh = EndpointEntry { started_at: Some(rig.now), ..endpoint(9) };
     rig.news(EndpointUpdate::Changes(vec![fresh]));
     rig.pass(100.0);
     let sent = rig.sent_at_once(50, |_| {});
@@ -49,7 +49,7 @@
 #[test]
 fn a_small_cold_endpoint_gets_its_part_of_a_small_warm_one() {
     let mut s = settings();
-    s.kinds = 2;
+    s.kind_count = 2;
     let small = |id: u32| EndpointEntry { kind: 1, ..endpoint(id) };
     let mut rig = Rig::new(s.clone(), endpoints(4).into_iter().chain([small(5), small(6)]).collect());
     let started = rig.now + 1500.0;
@@ -67,7 +67,7 @@
 fn a_cold_endpoint_that_answers_slowly_gets_less() {
     let sent_to_cold = |latency: f64| {
         let mut s = settings();
-        s.zones = 2;
+        s.zone_count = 2;
         let far = (1..=4).map(|id| EndpointEntry { zone: 1, ..endpoint(id) });
         let mut rig = Rig::new(s, far.collect());
         let settled = rig.now + 3000.0;
@@ -83,8 +83,10 @@
 #[test]
 fn where_no_endpoint_was_ever_warm_each_gets_one_request_at_a_time() {
     let started = Some(1000.0);
-    let mut rig =
-        Rig::new(settings(), endpoints(3).into_iter().map(|h| EndpointEntry { started, ..h }).collect());
+    let mut rig = Rig::new(
+        settings(),
+        endpoints(3).into_iter().map(|h| EndpointEntry { started_at: started, ..h }).collect(),
+    );
     rig.pass(200.0);
     let mut served = 0;
     for _ in 0..20 {
@@ -112,7 +114,7 @@
         rig.pass(20.0);
         rig.finish(id, 0, Outcome::Served);
     }
-    rig.news(EndpointUpdate::Changes(vec![EndpointEntry { started: Some(rig.now), ..endpoint(9) }]));
+    rig.news(EndpointUpdate::Changes(vec![EndpointEntry { started_at: Some(rig.now), ..endpoint(9) }]));
     rig.pass(500.0);
     let sent = rig.sent_at_once(50, |r| r.metadata.size_hint = Some(0.5));
     assert!(sent.iter().filter(|h| **h == EndpointId(9)).count() <= 2, "{sent:?}");
@@ -122,7 +124,7 @@
 #[test]
 fn cold_endpoints_are_home_to_their_part_of_the_keys() {
     let mut s = settings();
-    s.warm_keys = true;
+    s.key_affinity = true;
     let mut rig = Rig::new(s, endpoints(8));
     let serve = |rig: &mut Rig, n: u32| {
         let mut to_first = 0;
@@ -138,7 +140,9 @@
     };
     serve(&mut rig, 300);
     let started = Some(rig.now);
-    rig.news(EndpointUpdate::Changes((2..9).map(|n| EndpointEntry { started, ..endpoint(n) }).collect()));
+    rig.news(EndpointUpdate::Changes(
+        (2..9).map(|n| EndpointEntry { started_at: started, ..endpoint(n) }).collect(),
+    ));
     serve(&mut rig, 600);
     let last = serve(&mut rig, 150);
     assert!(last < 60, "{last} of 150 to the only warm host");
@@ -152,7 +156,7 @@
         let mut rig = Rig::new(settings(), endpoints(2));
         stream(&mut rig, 3000.0, 10.0, |_, _| (20.0, Outcome::Served));
         let started = Some(rig.now);
-        rig.news(EndpointUpdate::Changes(vec![EndpointEntry { started, ..endpoint(3) }]));
+        rig.news(EndpointUpdate::Changes(vec![EndpointEntry { started_at: started, ..endpoint(3) }]));
         let mut count = 0;
         for _ in 0..300 {
             let id = rig.request(0);
@@ -175,7 +179,7 @@
 #[test]
 fn a_cold_endpoint_is_used_while_its_warm_kin_rests() {
     let mut s = settings();
-    s.kinds = 2;
+    s.kind_count = 2;
     let list = endpoints(5)
         .into_iter()
         .map(|endpoint| EndpointEntry { kind: usize::from(endpoint.endpoint.0 > 1), ..endpoint });
@@ -201,7 +205,11 @@
     };
     drive(&mut rig, false);
     drive(&mut rig, true);
-    rig.news(EndpointUpdate::Changes(vec![EndpointEntry { started: Some(rig.now), kind: 0, ..endpoint(9) }]));
+    rig.news(EndpointUpdate::Changes(vec![EndpointEntry {
+        started_at: Some(rig.now),
+        kind: 0,
+        ..endpoint(9)
+    }]));
     let cold = drive(&mut rig, true);
     // 85 where the rate of its kin that rests counted.
     assert!(cold > 200, "{cold} in the ten seconds in which it becomes warm");
--- a/client-proxy/src/config.rs
+++ b/client-proxy/src/config.rs
@@ -141,7 +141,7 @@
             return Err(wrong(&format!("settings.classes[{i}].name"), "is missing"));
         }
         let settings = convert_settings(file.settings);
-        settings.check()?;
+        settings.validate()?;
         if settings.classes.iter().any(|class| class.streamed) {
             return Err(wrong("settings.classes", "streamed classes are not served by this program"));
         }
--- a/client-proxy/src/discovery.rs
+++ b/client-proxy/src/discovery.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer::{Discovery as Mode, EndpointUpdate};
+use balancer::{DiscoveryMode as Mode, EndpointUpdate};
 use discovery_client::{
     DiscoveryConnection, DiscoveryResponse, PollError, dial, exchange, list_request, origin_time,
 };
@@ -69,8 +69,8 @@
         let Names { zones, kinds, .. } = names;
         let pace = match mode {
             _ if !whom.is_shared() => PollTiming::DIRECT,
-            Mode::Subscribe => PollTiming::QUEUED,
-            Mode::Automatic => PollTiming::AGENT,
+            Mode::Pull => PollTiming::QUEUED,
+            Mode::Push => PollTiming::AGENT,
         };
         Discovery {
             whom,
@@ -101,8 +101,7 @@
             Some(Ok(list)) => {
                 // Where lists are pushed the whole list is to be had for nothing, so no old version is built
                 // on.
-                let entries =
-                    self.follower.restore(list, self.mode == Mode::Subscribe, self.driver.clock().now());
+                let entries = self.follower.restore(list, self.mode == Mode::Pull, self.driver.clock().now());
                 self.log_problems();
                 if !entries.is_empty() {
                     let ready = self.ready.clone();
@@ -123,8 +122,8 @@
         }
         self.driver.apply_operator_overrides();
         match self.mode {
-            Mode::Automatic => self.follow().await,
-            Mode::Subscribe => loop {
+            Mode::Push => self.follow().await,
+            Mode::Pull => loop {
                 let ask = tokio::select! {
                     ask = asks.recv() => ask,
                     // A move ends the pause that the decisions make after a failure: that was of the old
@@ -226,7 +225,7 @@
         };
         self.hand_on(index);
         let nothing = matches!(&news, EndpointUpdate::Changes(changes) if changes.is_empty());
-        if !nothing || self.mode == Mode::Subscribe {
+        if !nothing || self.mode == Mode::Pull {
             self.driver.apply_endpoint_update(news);
         }
         self.ready.send_replace(true);
--- a/client-proxy/src/discovery/tests.rs
+++ b/client-proxy/src/discovery/tests.rs
@@ -51,7 +51,7 @@
 fn a_move_is_followed_at_once_whatever_it_interrupts() {
     // Timers go by whole milliseconds.
     const AT_ONCE: Duration = Duration::from_millis(1);
-    for mode in [Mode::Automatic, Mode::Subscribe] {
+    for mode in [Mode::Push, Mode::Pull] {
         run(async {
             let (moves, ask) = follow(mode);
             ask.send(DiscoveryCommand::Watch).expect("followed");
@@ -161,7 +161,7 @@
         let (wish, wishes) = mpsc::unbounded_channel();
         let endpoints =
             EndpointPool::new(Sockets::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1000.0, 100.0);
-        let (names, settings) = (Names::default(), balancer::Settings { discovery: mode, ..settings() });
+        let (names, settings) = (Names::default(), balancer::Settings { discovery_mode: mode, ..settings() });
         let handover = Rc::new(ProcessState::open(None, "n0", &names));
         let driver = Driver::new(settings, names.clone(), seed, Rc::clone(&endpoints), handover, wish)
             .expect("usable");
@@ -198,7 +198,7 @@
 #[test]
 fn a_slow_or_crowded_discovery_is_followed_in_time_after_a_move() {
     const OFFSETS: u64 = 8;
-    for mode in [Mode::Automatic, Mode::Subscribe] {
+    for mode in [Mode::Push, Mode::Pull] {
         for (late, refusing) in [(1, 0), (2, 0), (3, 0), (0, 1), (0, 3), (0, 8), (1, 4), (2, 4)] {
             for n in 0..OFFSETS {
                 run(async {
@@ -236,7 +236,7 @@
 #[test]
 fn the_last_of_three_quick_moves_holds_however_late_the_others_answer() {
     const APART: Duration = Duration::from_millis(200);
-    for mode in [Mode::Automatic, Mode::Subscribe] {
+    for mode in [Mode::Push, Mode::Pull] {
         for (late, last_late) in [(500, 0), (1000, 1000), (1000, 3000), (3000, 1000), (3000, 3000)] {
             for refusing in [0, 3] {
                 run(async {
@@ -281,7 +281,7 @@
 /// before.
 #[test]
 fn a_slow_discovery_with_versions_of_its_own_is_followed_in_time_after_a_move() {
-    for mode in [Mode::Automatic, Mode::Subscribe] {
+    for mode in [Mode::Push, Mode::Pull] {
         for late in [0, 1000, 2000] {
             run(async {
                 let (old, _show) = discovery(Shown::at_once(41, "old")).await;
--- a/client-proxy/src/driver.rs
+++ b/client-proxy/src/driver.rs
@@ -140,7 +140,7 @@
 
     /// Passes on news of the list of endpoints.
     pub fn apply_endpoint_update(self: &Rc<Self>, news: EndpointUpdate) {
-        self.handle_event(Event::Endpoints(news));
+        self.handle_event(Event::EndpointUpdate(news));
     }
 
     /// An operator takes an endpoint out. It is durable before it is done.
@@ -227,7 +227,7 @@
             deadline.map_or(order.patience, |deadline| deadline.saturating_duration_since(Instant::now()));
         let (patience, body_pending) = (patience.as_secs_f64() * 1e3, order.long().is_some());
         let class = metadata.class;
-        self.handle_event(Event::Request(NewRequest { id, patience, body_pending, metadata }));
+        self.handle_event(Event::Request(NewRequest { id, timeout: patience, body_pending, metadata }));
         let counted = OutcomeRecorder { class, taken, driver: Rc::clone(self) };
         ResponseTicket { id, order, answer, counted: Some(counted), driver: Rc::clone(self) }
     }
@@ -253,7 +253,7 @@
             {
                 driver.count_accepted(&taken);
                 let left = (came + order.patience).saturating_duration_since(Instant::now());
-                driver.handle_event(Event::BodyComplete { id, patience: left.as_secs_f64() * 1e3 });
+                driver.handle_event(Event::BodyComplete { id, timeout: left.as_secs_f64() * 1e3 });
             }
         }))
     }
@@ -262,7 +262,7 @@
     fn gone(self: &Rc<Self>, id: RequestId) {
         let waited = self.state.borrow_mut().jobs.get_mut(&id).and_then(|job| job.reply.take()).is_some();
         if waited {
-            self.handle_event(Event::ClientGone { id });
+            self.handle_event(Event::ClientDisconnected { id });
         }
     }
 
@@ -292,7 +292,7 @@
         let mut actions = Vec::new();
         while let Some(event) = state.queue.pop_front() {
             let about = match &event {
-                Event::Finished(AttemptEnd { id, .. }) | Event::ClientGone { id } => Some(*id),
+                Event::AttemptFinished(AttemptEnd { id, .. }) | Event::ClientDisconnected { id } => Some(*id),
                 _ => None,
             };
             state.balancer.handle(self.clock.now(), event, &mut actions);
--- a/client-proxy/src/driver/actions.rs
+++ b/client-proxy/src/driver/actions.rs
@@ -25,17 +25,17 @@
                     state.queue.push_back(end);
                 }
             }
-            Action::Refuse { id, retry_after } => answer(state, id, FinalAnswer::Refused(retry_after)),
+            Action::Reject { id, retry_after } => answer(state, id, FinalAnswer::Refused(retry_after)),
             Action::Fail { id } => answer(state, id, FinalAnswer::Failed),
-            Action::Timer { at, token } => {
+            Action::SetTimer { at, token } => {
                 let (driver, at) = (Rc::clone(self), self.clock.instant(at));
                 spawn_local(async move {
                     sleep_until(at).await;
-                    driver.handle_event(Event::Timer { token });
+                    driver.handle_event(Event::TimerFired { token });
                 });
             }
-            Action::CloseIdle { endpoint } => self.endpoints.close_idle(endpoint),
-            Action::Forget { endpoint } => self.ids.release(endpoint),
+            Action::CloseIdleConnections { endpoint } => self.endpoints.close_idle(endpoint),
+            Action::ReleaseEndpointId { endpoint } => self.ids.release(endpoint),
             // The receiver lives as long as the program; where it has gone, so has the program.
             Action::Watch => drop(self.asks.send(DiscoveryCommand::Watch)),
             Action::Fetch => drop(self.asks.send(DiscoveryCommand::Fetch)),
@@ -98,13 +98,13 @@
     spent: bool,
 ) -> Event {
     let latency = latency.as_secs_f64() * 1e3;
-    Event::Finished(AttemptEnd {
+    Event::AttemptFinished(AttemptEnd {
         id,
         attempt: attempt as u32,
         outcome,
         latency,
-        ended,
-        report,
+        request_ended: ended,
+        load_report: report,
         cannot_resend: spent,
     })
 }
--- a/client-proxy/src/driver/metrics.rs
+++ b/client-proxy/src/driver/metrics.rs
@@ -31,7 +31,7 @@
         };
         let listed = self.endpoints.endpoint_ids();
         let state = self.state.borrow();
-        let avoided = state.balancer.avoided(self.clock.now());
+        let avoided = state.balancer.excluded_endpoints(self.clock.now());
         let mut figures = json!({
             "success": by_class(|ended| ended.served),
             "overload": by_class(|ended| ended.refused),
@@ -51,12 +51,12 @@
     /// A zone that gets nothing but trials, for operators.
     fn zone_left(&self, left: &EjectedZone) -> Value {
         let zone = self.names.zones.get(left.zone).map_or("unknown", String::as_str);
-        let why = match (left.own_network, left.silent) {
+        let why = match (left.own_network_suspected, left.unresponsive) {
             (true, _) => "own network",
             (false, true) => "silent",
             (false, false) => "connections fail",
         };
-        json!({"zone": zone, "why": why, "for_ms": (self.clock.now() - left.since).round()})
+        json!({"zone": zone, "why": why, "for_ms": (self.clock.now() - left.ejected_at).round()})
     }
 }
 
--- a/client-proxy/src/driver/response_ticket.rs
+++ b/client-proxy/src/driver/response_ticket.rs
@@ -66,7 +66,7 @@
                 HangUp::Reset => BodyError::Incomplete,
                 HangUp::Closed => {
                     // It may still read, so what is out may still be answered.
-                    self.driver.handle_event(Event::ClientClosed { id: self.id });
+                    self.driver.handle_event(Event::ClientHalfClosed { id: self.id });
                     std::future::pending().await
                 }
             }
--- a/client-proxy/src/fleet_config.rs
+++ b/client-proxy/src/fleet_config.rs
@@ -112,9 +112,9 @@
         let mut by_zone: Vec<usize> = names.zones.iter().enumerate().map(region).collect();
         by_zone.push(usize::MAX);
         let own = own.as_ref().and_then(|own| names.zones.iter().position(|zone| zone == own));
-        settings.zones = by_zone.len();
+        settings.zone_count = by_zone.len();
         settings.zone = own.unwrap_or(settings.zone);
-        settings.locality = Some(Locality { own, regions: by_zone });
+        settings.locality = Some(Locality { own_zone: own, regions: by_zone });
     }
 }
 
--- a/client-proxy/src/fleet_config/tests.rs
+++ b/client-proxy/src/fleet_config/tests.rs
@@ -30,10 +30,10 @@
     FleetConfig::default().apply(&mut settings, &mut names);
     assert_eq!((settings.locality.clone(), names.zones.len()), (None, 3), "off");
     FleetConfig::read("f.toml", text).expect("sound").apply(&mut settings, &mut names);
-    let Locality { own, regions } = settings.locality.clone().expect("on");
-    assert_eq!((own, names.zones.last().map(String::as_str), regions.len()), (Some(1), Some("d"), 5));
+    let Locality { own_zone, regions } = settings.locality.clone().expect("on");
+    assert_eq!((own_zone, names.zones.last().map(String::as_str), regions.len()), (Some(1), Some("d"), 5));
     assert_eq!(regions[0], regions[1]);
     let alone = |z: usize| regions.iter().filter(|region| **region == regions[z]).count() == 1;
     assert!(alone(2) && alone(3) && alone(4), "{regions:?}");
-    assert_eq!(settings.check(), Ok(()));
+    assert_eq!(settings.validate(), Ok(()));
 }
--- a/client-proxy/src/main.rs
+++ b/client-proxy/src/main.rs
@@ -97,8 +97,8 @@
     let endpoints = EndpointPool::new(
         Rc::clone(&sockets),
         answers,
-        settings.limits.conn_idle,
-        settings.limits.dial_timeout,
+        settings.limits.connection_idle_timeout,
+        settings.limits.connect_timeout,
     );
     let (wish, wishes) = mpsc::unbounded_channel();
     let handover = Rc::new(ProcessState::open(env::var_os("TMPDIR").map(PathBuf::from), &name, &names));
@@ -108,7 +108,7 @@
     let moves = watch::Sender::new(discovery);
     let list = Discovery::new(
         SourceSelector::new(moves.subscribe(), relays, seed),
-        settings.discovery,
+        settings.discovery_mode,
         names.clone(),
         seed,
         Rc::clone(&endpoints),
--- a/client-proxy/src/request_head.rs
+++ b/client-proxy/src/request_head.rs
@@ -113,7 +113,7 @@
         class,
         tenant,
         is_retry: text(headers, &X_RESENT) == Some("1"),
-        update: labels.any(|(name, value)| name == "update" && matches!(value, "1" | "true")),
+        is_write: labels.any(|(name, value)| name == "update" && matches!(value, "1" | "true")),
         // Microseconds there, milliseconds here.
         size_hint: text(headers, &X_ESTIMATE).and_then(|us| us.parse::<f64>().ok()).map(|us| us / 1e3),
         key: read_key(headers),
--- a/discovery-proto/src/ids/tests.rs
+++ b/discovery-proto/src/ids/tests.rs
@@ -26,11 +26,11 @@
             kind: 0,
             cell: 0,
             weight: 1.0,
-            started,
-            phase,
+            started_at: started,
+            state: phase,
         }];
         ids.translate_response(&mut entry, ReceivedAt { local, discovery_unix_ms: None });
-        entry[0].started
+        entry[0].started_at
     };
     assert_eq!((translated_start(now), translated_start(now + 5.0)), (Some(now), Some(now)));
     ids.release(ids.get_or_assign("s-1"));
--- a/discovery-proto/src/list.rs
+++ b/discovery-proto/src/list.rs
@@ -151,8 +151,8 @@
             kind: index_of(&self.kinds, &endpoint.kind).unwrap_or(usize::MAX),
             cell: endpoint.group,
             weight: endpoint.weight,
-            started: (endpoint.since_ms > 0).then_some(endpoint.since_ms as f64),
-            phase,
+            started_at: (endpoint.since_ms > 0).then_some(endpoint.since_ms as f64),
+            state: phase,
         };
         Ok((endpoint.name, entry, location.filter(|_| phase != EndpointState::Removed)))
     }
--- a/discovery-proto/src/starts.rs
+++ b/discovery-proto/src/starts.rs
@@ -55,15 +55,15 @@
             self.update_offset(entries, received);
         }
         for entry in entries {
-            let Some(since_ms) = entry.started else {
-                if entry.phase != EndpointState::Removed {
+            let Some(since_ms) = entry.started_at else {
+                if entry.state != EndpointState::Removed {
                     self.known.remove(&entry.endpoint);
                 }
                 continue;
             };
             let started = self.started(entry.endpoint, since_ms, received.local);
-            entry.started = Some(started);
-            if entry.phase != EndpointState::Removed {
+            entry.started_at = Some(started);
+            if entry.state != EndpointState::Removed {
                 self.known.insert(entry.endpoint, Start { since_ms, started });
             }
         }
@@ -91,7 +91,7 @@
             self.offset = Some(unix_ms - received.local);
             return;
         }
-        let mut starts: Vec<f64> = entries.iter().filter_map(|entry| entry.started).collect();
+        let mut starts: Vec<f64> = entries.iter().filter_map(|entry| entry.started_at).collect();
         starts.sort_by(|a, b| b.total_cmp(a));
         if let Some(second_newest) = starts.get(1) {
             let offset = second_newest - received.local;
--- a/discovery-proto/src/starts/tests.rs
+++ b/discovery-proto/src/starts/tests.rs
@@ -12,8 +12,8 @@
         kind: 0,
         cell: 0,
         weight: 1.0,
-        started,
-        phase: EndpointState::Up,
+        started_at: started,
+        state: EndpointState::Up,
     }
 }
 
@@ -26,7 +26,7 @@
     let mut entries: Vec<EndpointEntry> =
         (0..).zip(since_ms).map(|(endpoint, since)| entry(endpoint, *since)).collect();
     starts.translate_response(&mut entries, received);
-    entries.iter().map(|entry| entry.started).collect()
+    entries.iter().map(|entry| entry.started_at).collect()
 }
 
 /// If discovery's clock is wrong, the Unix time of a new process may look old or lie in the future. A start
@@ -51,7 +51,7 @@
     let later = ReceivedAt { local: NOW + 40e3, discovery_unix_ms: Some(UNIX_MS + HOUR) };
     assert_eq!(translate(&mut starts, &[UNIX_MS, UNIX_MS - 3e3, UNIX_MS], later), translated, "repeated");
     // Removed, with and without its start time, and listed again.
-    let removed = |since_ms| EndpointEntry { phase: EndpointState::Removed, ..entry(1, since_ms) };
+    let removed = |since_ms| EndpointEntry { state: EndpointState::Removed, ..entry(1, since_ms) };
     for since_ms in [0.0, UNIX_MS - 3e3] {
         starts.translate_response(&mut [removed(since_ms)], received(NOW + 41e3));
     }
@@ -96,7 +96,7 @@
     let mut starts = StartTimes::default();
     let mut cached = [entry(0, UNIX_MS), entry(1, UNIX_MS), entry(2, UNIX_MS)];
     starts.translate_cached(&mut cached, received(NOW));
-    assert_eq!(cached[0].started, Some(NOW));
+    assert_eq!(cached[0].started_at, Some(NOW));
     let translated =
         translate(&mut starts, &[UNIX_MS, UNIX_MS, UNIX_MS + HOUR, UNIX_MS + HOUR], received(NOW + 500.0));
     let warmed_up = Some(NOW + 500.0 - HOUR);
--- a/simulator-adapter/src/link.rs
+++ b/simulator-adapter/src/link.rs
@@ -177,7 +177,7 @@
                         }
                     }
                 };
-                self.dispatch(now, proxy, Event::Endpoints(update), reply)?;
+                self.dispatch(now, proxy, Event::EndpointUpdate(update), reply)?;
             }
             Incoming::Request {
                 proxy,
@@ -194,9 +194,9 @@
                 if instance.id(&request).is_some() {
                     return Ok(false); // duplicate: the first one has not ended yet
                 }
-                let metadata = RequestMetadata { class, tenant, is_retry, update, size_hint, key };
+                let metadata = RequestMetadata { class, tenant, is_retry, is_write: update, size_hint, key };
                 let id = instance.add_request(&request);
-                let request = NewRequest { id, patience: remaining_deadline, body_pending: false, metadata };
+                let request = NewRequest { id, timeout: remaining_deadline, body_pending: false, metadata };
                 self.dispatch(now, proxy, Event::Request(request), reply)?;
             }
             Incoming::FirstByte { proxy, request, attempt } => {
@@ -224,11 +224,11 @@
                         attempt,
                         outcome: convert_outcome(status_code),
                         latency,
-                        ended: request_ended,
-                        report: convert_load_report(&metrics),
+                        request_ended,
+                        load_report: convert_load_report(&metrics),
                         cannot_resend: false,
                     };
-                    self.dispatch(now, proxy, Event::Finished(end), reply)?;
+                    self.dispatch(now, proxy, Event::AttemptFinished(end), reply)?;
                     self.instance(proxy)?.remove_if_done(id);
                 }
             }
@@ -236,25 +236,25 @@
                 let instance = self.instance(proxy)?;
                 if let Some(id) = instance.id(&request) {
                     instance.update_request(id, |request| request.ended = true);
-                    self.dispatch(now, proxy, Event::ClientGone { id }, reply)?;
+                    self.dispatch(now, proxy, Event::ClientDisconnected { id }, reply)?;
                     self.instance(proxy)?.remove_if_done(id);
                 }
             }
             Incoming::TimerFired { proxy, token } => {
-                self.dispatch(now, proxy, Event::Timer { token }, reply)?;
+                self.dispatch(now, proxy, Event::TimerFired { token }, reply)?;
             }
             Incoming::ProbeFinished { proxy, endpoint, status_code, latency, metrics } => {
-                let event = Event::Probed {
+                let event = Event::ProbeFinished {
                     endpoint: EndpointId(endpoint),
                     outcome: convert_outcome(status_code),
                     latency,
-                    report: convert_load_report(&metrics),
+                    load_report: convert_load_report(&metrics),
                 };
                 self.dispatch(now, proxy, event, reply)?;
             }
             Incoming::PeerMessage { proxy, sender, content } => {
                 let content = from_hex(&content).ok_or("message content is not valid hexadecimal")?;
-                self.dispatch(now, proxy, Event::Peer { from: sender, content }, reply)?;
+                self.dispatch(now, proxy, Event::PeerMessage { from: sender, content }, reply)?;
             }
         }
         Ok(false)
@@ -308,7 +308,7 @@
             let Some(request) = wire_id(id) else { return };
             write_message(reply, &Outgoing::CancelAttempt { proxy, request: &request, attempt: *attempt });
         }
-        Action::Refuse { id, retry_after } => {
+        Action::Reject { id, retry_after } => {
             let Some(request) = wire_id(id) else { return };
             write_message(
                 reply,
@@ -323,13 +323,13 @@
             instance.update_request(*id, |request| request.ended = true);
             instance.remove_if_done(*id);
         }
-        Action::Timer { at, token } => {
+        Action::SetTimer { at, token } => {
             write_message(reply, &Outgoing::SetTimer { proxy, at: *at, token: *token });
         }
         Action::Probe { endpoint } => {
             write_message(reply, &Outgoing::ProbeEndpoint { proxy, endpoint: endpoint.0 })
         }
-        Action::CloseIdle { endpoint } => {
+        Action::CloseIdleConnections { endpoint } => {
             write_message(reply, &Outgoing::CloseIdleConnections { proxy, endpoint: endpoint.0 })
         }
         Action::SendToPeer { to, content } => {
@@ -337,7 +337,7 @@
             write_message(reply, &Outgoing::SendToPeer { proxy, to, content: to_hex(content) });
         }
         // The simulator assigns the endpoint identifiers and never reuses them: nothing has to be released.
-        Action::Forget { .. } => {}
+        Action::ReleaseEndpointId { .. } => {}
         Action::Watch => write_message(reply, &Outgoing::WatchDiscovery { proxy, active: true }),
         Action::Fetch => write_message(reply, &Outgoing::PollDiscovery { proxy }),
         Action::Log(message) => write_message(reply, &Outgoing::Log { proxy, message }),
@@ -378,8 +378,8 @@
         kind: entry.kind,
         cell: entry.cell,
         weight: entry.weight,
-        started: (entry.started_at > 0.0).then_some(entry.started_at),
-        phase: match entry.state {
+        started_at: (entry.started_at > 0.0).then_some(entry.started_at),
+        state: match entry.state {
             ListEntryState::Up => EndpointState::Up,
             ListEntryState::Draining => EndpointState::Draining,
             ListEntryState::Removed => EndpointState::Removed,
--- a/simulator-adapter/src/link/tests.rs
+++ b/simulator-adapter/src/link/tests.rs
@@ -22,16 +22,16 @@
         ),
         (Action::Cancel { id, attempt: 2 }, r#"{"ABORT_ATTEMPT":{"proxy":3,"job":"r-ahg8m23","leg":2}}"#),
         (
-            Action::Refuse { id, retry_after: Some(40.0) },
+            Action::Reject { id, retry_after: Some(40.0) },
             r#"{"DECLINE":{"proxy":3,"job":"r-ahg8m23","comeBack":40.0}}"#,
         ),
         (Action::Fail { id }, r#"{"DROP_REQUEST":{"proxy":3,"job":"r-ahg8m23"}}"#),
         (
-            Action::Timer { at: 8912.25, token: 77 },
+            Action::SetTimer { at: 8912.25, token: 77 },
             r#"{"NOTIFY_ME":{"proxy":3,"alarmTime":8912.25,"mark":77}}"#,
         ),
         (Action::Probe { endpoint }, r#"{"INSPECT":{"proxy":3,"host":51530247}}"#),
-        (Action::CloseIdle { endpoint }, r#"{"FREE_LINKS":{"proxy":3,"host":51530247}}"#),
+        (Action::CloseIdleConnections { endpoint }, r#"{"FREE_LINKS":{"proxy":3,"host":51530247}}"#),
         (
             Action::SendToPeer { to: None, content: b"hi 7".to_vec() },
             r#"{"BROADCAST_TO":{"proxy":3,"to":"all","content":"68692037"}}"#,
--- a/simulator-adapter/src/settings.rs
+++ b/simulator-adapter/src/settings.rs
@@ -5,8 +5,8 @@
 //! and keeps the outer name by `#[serde(rename)]`. Times are in milliseconds unless a name says otherwise.
 
 use balancer::{
-    Class, Contract, Discovery, Effect, Goal, KeyScope, Limits, Prices, Reporting, Reports, Settings, Tenant,
-    Weights,
+    Class, Contract, DiscoveryMode, Effect, KeyScope, Limits, LoadReportSettings, LoadReporting,
+    ObjectiveWeights, Prices, Settings, Tenant, WeightBasis,
 };
 use serde::Deserialize;
 
@@ -238,13 +238,13 @@
     f64::MAX
 }
 
-fn convert_load_reports(reports: &WireLoadReports) -> Reports {
+fn convert_load_reports(reports: &WireLoadReports) -> LoadReportSettings {
     let includes = |name: &str| reports.fields.iter().any(|field| field == name);
-    Reports {
-        given: match reports.sent_with.as_str() {
-            "answers" => Reporting::WithAnswers,
-            "probe" => Reporting::WithProbes,
-            _ => Reporting::Never,
+    LoadReportSettings {
+        carried_by: match reports.sent_with.as_str() {
+            "answers" => LoadReporting::WithResponses,
+            "probe" => LoadReporting::WithProbes,
+            _ => LoadReporting::Never,
         },
         outstanding: includes("outstanding"),
         backlog: includes("backlog"),
@@ -283,71 +283,71 @@
     let tenants = wire
         .tenants
         .into_iter()
-        .map(|tenant| Tenant { portion: tenant.share, quota_per_s: tenant.quota_per_s });
+        .map(|tenant| Tenant { service_share: tenant.share, quota_per_s: tenant.quota_per_s });
     Settings {
-        me: wire.balancer_index,
-        balancers: wire.balancer_count,
+        balancer_index: wire.balancer_index,
+        balancer_count: wire.balancer_count,
         zone: wire.own_zone,
-        zones: wire.zones.len().max(1),
+        zone_count: wire.zones.len().max(1),
         locality: None,
-        kinds: wire.kinds.len().max(1),
+        kind_count: wire.kinds.len().max(1),
         classes: classes.collect(),
         tenants: tenants.collect(),
         over_quota_weight: wire.over_quota_weight,
         weight_by_work: wire.weight_counted_by == "work",
-        warm_keys: wire.endpoint_cache.warm_keys,
-        marks_retry: wire.clients.marks_retry,
-        goal: Goal {
-            whole: wire.goal.overall,
+        key_affinity: wire.endpoint_cache.warm_keys,
+        clients_mark_retries: wire.clients.marks_retry,
+        objective_weights: ObjectiveWeights {
+            overall: wire.goal.overall,
             worst_window: wire.goal.worst_window,
             worst_class: wire.goal.worst_class,
             worst_tenant: wire.goal.worst_tenant,
         },
-        reports: convert_load_reports(&wire.load_reports),
-        weights: match wire.weight_meaning.as_str() {
-            "nominal" => Weights::Nominal,
-            "rough" => Weights::Rough,
-            "live" => Weights::Live,
-            _ => Weights::Equal,
+        load_reports: convert_load_reports(&wire.load_reports),
+        weight_basis: match wire.weight_meaning.as_str() {
+            "nominal" => WeightBasis::Nominal,
+            "rough" => WeightBasis::Approximate,
+            "live" => WeightBasis::LoadAdjusted,
+            _ => WeightBasis::Equal,
         },
-        discovery: match wire.discovery {
-            WireDiscovery::Automatic => Discovery::Automatic,
-            WireDiscovery::Subscribe => Discovery::Subscribe,
+        discovery_mode: match wire.discovery {
+            WireDiscovery::Automatic => DiscoveryMode::Push,
+            WireDiscovery::Subscribe => DiscoveryMode::Pull,
         },
-        tick: wire.tick_ms,
+        timer_resolution: wire.tick_ms,
         limits: Limits {
-            attempts: wire.limits.max_attempts,
-            cancelling: wire.limits.cancelling,
+            max_attempts: wire.limits.max_attempts,
+            cancellation: wire.limits.cancelling,
             hedging: wire.limits.hedging,
             probes: wire.limits.probes,
             peer_messages: wire.limits.peer_messages,
             retry_after: wire.limits.retry_after,
             max_retry_after: wire.limits.max_retry_after,
-            dial_timeout: wire.limits.connect_timeout,
-            conn_idle: wire.limits.connection_idle_timeout,
-            streams: wire.limits.max_streams,
-            open_requests: wire.limits.max_requests_in_flight,
+            connect_timeout: wire.limits.connect_timeout,
+            connection_idle_timeout: wire.limits.connection_idle_timeout,
+            streams_per_connection: wire.limits.max_streams,
+            max_requests_in_flight: wire.limits.max_requests_in_flight,
             cpu_us_per_s: wire.limits.cpu_us_per_s,
             cpu_us_per_request: Some(wire.limits.cpu_us_per_request).filter(|us| *us != 0.0),
         },
         contract: Contract {
-            grace_to_answer: wire.contract.response_grace,
+            response_grace: wire.contract.response_grace,
             drain_grace: wire.contract.drain_grace,
             initial_capacity: wire.contract.initial_capacity,
             warm_up: wire.contract.warm_up,
             overload_multiple: wire.contract.overload_multiple,
             overload_window: wire.contract.overload_window,
-            poll_within: wire.contract.poll_within,
+            max_notification_delay: wire.contract.poll_within,
         },
         prices: Prices {
             cross_zone: wire.prices.cross_zone,
             waste: wire.prices.waste,
-            late_fail: wire.prices.late_failure,
+            late_failure: wire.prices.late_failure,
             handshake: wire.prices.handshake,
             connection: wire.prices.connection,
             discovery: wire.prices.discovery,
             probe: wire.prices.probe,
-            peer: wire.prices.peer,
+            peer_message: wire.prices.peer,
         },
     }
 }
--- a/simulator-adapter/src/settings/tests.rs
+++ b/simulator-adapter/src/settings/tests.rs
@@ -22,12 +22,12 @@
             "tick":5.0,"tier":0,"weights":"rough","zone":1,"zones":["p","q"]}"#;
     let settings = convert_settings(serde_json::from_str(json).expect("valid JSON"));
     let expected = Settings {
-        me: 1,
-        balancers: 3,
+        balancer_index: 1,
+        balancer_count: 3,
         zone: 1,
-        zones: 2,
+        zone_count: 2,
         locality: None,
-        kinds: 3,
+        kind_count: 3,
         classes: vec![Class {
             latency_objective: 500.0,
             objective_stretch: 1.5,
@@ -37,14 +37,19 @@
             effect: Effect::Keyed { scope: KeyScope::Zone, ttl: 2400.0 },
             streamed: true,
         }],
-        tenants: vec![Tenant { portion: 0.22, quota_per_s: 54.0 }],
+        tenants: vec![Tenant { service_share: 0.22, quota_per_s: 54.0 }],
         over_quota_weight: 0.2,
         weight_by_work: true,
-        warm_keys: true,
-        marks_retry: true,
-        goal: Goal { whole: 0.4, worst_window: 0.15, worst_class: 0.2, worst_tenant: 0.25 },
-        reports: Reports {
-            given: Reporting::WithProbes,
+        key_affinity: true,
+        clients_mark_retries: true,
+        objective_weights: ObjectiveWeights {
+            overall: 0.4,
+            worst_window: 0.15,
+            worst_class: 0.2,
+            worst_tenant: 0.25,
+        },
+        load_reports: LoadReportSettings {
+            carried_by: LoadReporting::WithProbes,
             outstanding: true,
             backlog: false,
             utilization: false,
@@ -52,54 +57,55 @@
             throughput: false,
             errors_per_s: true,
         },
-        weights: Weights::Rough,
-        discovery: Discovery::Subscribe,
-        tick: 5.0,
+        weight_basis: WeightBasis::Approximate,
+        discovery_mode: DiscoveryMode::Pull,
+        timer_resolution: 5.0,
         limits: Limits {
-            attempts: 6,
-            cancelling: true,
+            max_attempts: 6,
+            cancellation: true,
             hedging: true,
             probes: true,
             peer_messages: true,
             retry_after: true,
             max_retry_after: 2000.0,
-            dial_timeout: 120.0,
-            conn_idle: 5000.0,
-            streams: 4,
-            open_requests: 302_962,
+            connect_timeout: 120.0,
+            connection_idle_timeout: 5000.0,
+            streams_per_connection: 4,
+            max_requests_in_flight: 302_962,
             cpu_us_per_s: 757_405.0,
             cpu_us_per_request: Some(7.0),
         },
         contract: Contract {
-            grace_to_answer: 20.0,
+            response_grace: 20.0,
             drain_grace: 501.0,
             initial_capacity: 0.13,
             warm_up: 24000.0,
             overload_multiple: 3.0,
             overload_window: 1500.0,
-            poll_within: Some(10000.0),
+            max_notification_delay: Some(10000.0),
         },
         prices: Prices {
             cross_zone: 2.0,
             waste: 8.0,
-            late_fail: 5.0,
+            late_failure: 5.0,
             handshake: 4.0,
             connection: 1.0,
             discovery: 3.0,
             probe: 7.0,
-            peer: 6.0,
+            peer_message: 6.0,
         },
     };
     assert_eq!(settings, expected);
-    for (name, expected) in [("none", Weights::Equal), ("nominal", Weights::Nominal), ("live", Weights::Live)]
+    for (name, expected) in
+        [("none", WeightBasis::Equal), ("nominal", WeightBasis::Nominal), ("live", WeightBasis::LoadAdjusted)]
     {
         let json = json.replace(r#""weights":"rough""#, &format!(r#""weights":"{name}""#));
-        assert_eq!(convert_settings(serde_json::from_str(&json).expect("valid JSON")).weights, expected);
+        assert_eq!(convert_settings(serde_json::from_str(&json).expect("valid JSON")).weight_basis, expected);
     }
-    for (name, expected) in [("none", Reporting::Never), ("answers", Reporting::WithAnswers)] {
+    for (name, expected) in [("none", LoadReporting::Never), ("answers", LoadReporting::WithResponses)] {
         let json = json.replace(r#""how":"probe""#, &format!(r#""how":"{name}""#));
         assert_eq!(
-            convert_settings(serde_json::from_str(&json).expect("valid JSON")).reports.given,
+            convert_settings(serde_json::from_str(&json).expect("valid JSON")).load_reports.carried_by,
             expected
         );
     }
--- a/testbed/src/scale/depth.rs
+++ b/testbed/src/scale/depth.rs
@@ -123,7 +123,7 @@
         for level in 0..depth as usize {
             tree.feed(
                 level,
-                Event::Endpoints(EndpointUpdate::FullSnapshot((0..ENDPOINTS).map(endpoint).collect())),
+                Event::EndpointUpdate(EndpointUpdate::FullSnapshot((0..ENDPOINTS).map(endpoint).collect())),
             );
         }
         tree.timeline.at(0.0, What::Root);
@@ -144,7 +144,7 @@
                 self.counts.roots += 1.0;
                 self.ask(0, None, PATIENCE);
             }
-            What::Timer { level, token } => self.feed(level, Event::Timer { token }),
+            What::Timer { level, token } => self.feed(level, Event::TimerFired { token }),
             What::Worked(attempt) => {
                 // Whoever waits no longer has broken the connection off, before the work went on.
                 let Some(&(_, until)) = self.out.get(&attempt) else { return };
@@ -166,7 +166,7 @@
         let (id, deadline) = (RequestId(self.next_id), self.timeline.now() + patience);
         self.levels[level].requests.insert(id, Asked { by, deadline, attempts: 0 });
         let metadata = RequestMetadata::default();
-        self.feed(level, Event::Request(NewRequest { id, patience, body_pending: false, metadata }));
+        self.feed(level, Event::Request(NewRequest { id, timeout: patience, body_pending: false, metadata }));
     }
 
     /// An attempt is over, if it was not before.
@@ -180,13 +180,13 @@
     }
 
     fn ended(&self, attempt: Try, outcome: Outcome, sent: Millis) -> Event {
-        Event::Finished(AttemptEnd {
+        Event::AttemptFinished(AttemptEnd {
             id: attempt.id,
             attempt: attempt.attempt,
             outcome,
             latency: self.timeline.now() - sent,
-            ended: !self.levels[attempt.level].requests.contains_key(&attempt.id),
-            report: LoadReport::default(),
+            request_ended: !self.levels[attempt.level].requests.contains_key(&attempt.id),
+            load_report: LoadReport::default(),
             cannot_resend: false,
         })
     }
@@ -220,8 +220,8 @@
                             events.push_back(self.ended(attempt, Outcome::Cancelled, sent));
                         }
                     }
-                    Action::Refuse { id, .. } | Action::Fail { id } => self.answer(level, id, false),
-                    Action::Timer { at, token } => self.timeline.at(at, What::Timer { level, token }),
+                    Action::Reject { id, .. } | Action::Fail { id } => self.answer(level, id, false),
+                    Action::SetTimer { at, token } => self.timeline.at(at, What::Timer { level, token }),
                     // The list stays as it is, and nothing is connected.
                     _ => {}
                 }
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -108,7 +108,7 @@
     /// are asked for: it then only asks for what is new.
     pub fn start(&mut self, now: Millis, known: Option<EndpointList>, todo: &mut Vec<Todo>) {
         let entries = known.map(|list| self.follower.restore(list, true, now)).unwrap_or_default();
-        self.feed(now, Event::Endpoints(EndpointUpdate::CachedSnapshot(entries)), todo);
+        self.feed(now, Event::EndpointUpdate(EndpointUpdate::CachedSnapshot(entries)), todo);
     }
 
     /// The call that is to be made next.
@@ -129,7 +129,7 @@
     ) -> Result<Option<u64>, EndpointListError> {
         match self.follower.on_response(body, ReceivedAt { local: now, discovery_unix_ms: None }) {
             Ok(ListResponse::Applied { index, update: news, empty_watch: in_vain }) => {
-                self.feed(now, Event::Endpoints(news), todo);
+                self.feed(now, Event::EndpointUpdate(news), todo);
                 let after = if in_vain && now - asked < BREATH { BREATH } else { 0.0 };
                 todo.push(Todo::Call { after });
                 Ok(Some(index))
@@ -149,19 +149,19 @@
     pub fn failed(&mut self, now: Millis, spoilt: bool, todo: &mut Vec<Todo>) {
         // How long to pause is for the decisions: lists are asked for here.
         let _ = self.follower.on_failure(spoilt);
-        self.feed(now, Event::Endpoints(EndpointUpdate::Failed), todo);
+        self.feed(now, Event::EndpointUpdate(EndpointUpdate::Failed), todo);
     }
 
     /// A timer is due.
     pub fn woken(&mut self, now: Millis, token: u64, todo: &mut Vec<Todo>) {
-        self.feed(now, Event::Timer { token }, todo);
+        self.feed(now, Event::TimerFired { token }, todo);
     }
 
     fn feed(&mut self, now: Millis, event: Event, todo: &mut Vec<Todo>) {
         // The first event arms the regular look, and each look the next one.
         let looked = match (&event, self.next_look) {
             (_, None) => true,
-            (Event::Timer { token }, Some(look)) => *token == look,
+            (Event::TimerFired { token }, Some(look)) => *token == look,
             _ => false,
         };
         let mut actions = Vec::new();
@@ -174,7 +174,7 @@
                     self.follower.request_full_snapshot();
                     todo.push(Todo::Call { after: 0.0 });
                 }
-                Action::Timer { at, token } => {
+                Action::SetTimer { at, token } => {
                     if std::mem::take(&mut arms) {
                         self.next_look = Some(token);
                         if self.looks == Looks::LeftOut {
@@ -183,7 +183,7 @@
                     }
                     todo.push(Todo::Timer { at, token });
                 }
-                Action::Forget { endpoint } => self.follower.reader().ids.release(endpoint),
+                Action::ReleaseEndpointId { endpoint } => self.follower.reader().ids.release(endpoint),
                 // Nobody sends anything, so there is nothing else to do.
                 _ => {}
             }
@@ -220,7 +220,7 @@
     let wire: Result<WireSettings, _> = serde_json::from_value(wire);
     let mut settings =
         convert_settings(wire.map_err(|error| ScaleError::SetUp(format!("settings: {error}")))?);
-    settings.locality = Some(Locality { own: Some(zone), regions: REGIONS.to_vec() });
+    settings.locality = Some(Locality { own_zone: Some(zone), regions: REGIONS.to_vec() });
     Ok(settings)
 }
 
