--- a/client-proxy/tests/bodies.rs
+++ b/client-proxy/tests/bodies.rs
@@ -1,4 +1,5 @@
-//! Bodies longer than are kept whole, in every form of the protocol, and peers that are slow, stop or lie.
+//! Bodies longer than those that are buffered, in each transfer coding of HTTP/1.1, with peers that are
+//! slow, stop or send malformed data.
 
 mod common;
 
@@ -11,25 +12,25 @@
 use serde_json::json;
 
 const KEY: &str = "Idempotency-Key: 5c0f\r\n";
-/// Far more than is kept whole, and than the buffers of the system hold at their first size.
+/// Far more than is buffered, and than the initial socket buffers of the system hold.
 const LONG: usize = 3 << 20;
 
 fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|i| (i * 31 + i / 251) as u8).collect()
 }
 
-/// An upstream that a test plays by hand: `serve` has each connection, as a reader and a writer.
+/// A scripted upstream: `serve` handles each connection, given as a reader and a writer.
 fn raw_upstream(
     serve: impl Fn(&mut BufReader<TcpStream>, &mut TcpStream) + Send + Sync + 'static,
 ) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+    let address = listener.local_addr().expect("no local address");
     let serve = Arc::new(serve);
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (serve, mut stream) = (Arc::clone(&serve), stream.expect("a connection"));
+            let (serve, mut stream) = (Arc::clone(&serve), stream.expect("accept failed"));
             std::thread::spawn(move || {
-                let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
+                let mut reader = BufReader::new(stream.try_clone().expect("could not clone the socket"));
                 serve(&mut reader, &mut stream);
                 let _ = stream.shutdown(std::net::Shutdown::Both);
             });
@@ -38,8 +39,8 @@
     address
 }
 
-/// The head of a message, up to the empty line.
-fn head(reader: &mut impl BufRead) -> Option<String> {
+/// Reads the head of a message, up to the empty line, in lower case.
+fn read_head(reader: &mut impl BufRead) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if reader.read_line(&mut head).ok()? == 0 {
@@ -49,8 +50,8 @@
     Some(head.to_ascii_lowercase())
 }
 
-/// A body by what the head says of its form; `None` where it breaks off.
-fn body(reader: &mut impl BufRead, head: &str) -> Option<Vec<u8>> {
+/// Reads a body in the transfer coding that the head names; `None` if it is truncated.
+fn read_body(reader: &mut impl BufRead, head: &str) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     if let Some(rest) = head.split("content-length: ").nth(1) {
         body.resize(rest.split("\r\n").next()?.parse().ok()?, 0);
@@ -80,41 +81,41 @@
     config["admin_addr"] = json!("127.0.0.1:0");
     config["limits"]["memory_mb"] = json!(48);
     let proxy = Proxy::start(&config);
-    discovery_server.wait_until_known();
+    discovery_server.wait_until_list_received();
     (proxy, discovery_server)
 }
 
-/// The head of a request whose body has no form yet.
-fn open_post(class: &str, headers: &str) -> String {
-    let whole = post(class, 3000, headers, "");
-    whole.split("Content-Length").next().expect("a head").to_owned()
+/// The head of a request, without the header for its transfer coding.
+fn post_without_length(class: &str, headers: &str) -> String {
+    let complete = post(class, 3000, headers, "");
+    complete.split("Content-Length").next().expect("no message head").to_owned()
 }
 
-/// An upstream that tells of each request's body and says yes.
-fn listening_upstream() -> (SocketAddr, Receiver<Option<Vec<u8>>>) {
-    let (tell, told) = channel();
-    let tell = Mutex::new(tell);
+/// An upstream that reports each request body, `None` if truncated, and responds with 200.
+fn body_recording_upstream() -> (SocketAddr, Receiver<Option<Vec<u8>>>) {
+    let (sender, bodies) = channel();
+    let sender = Mutex::new(sender);
     let address = raw_upstream(move |reader, writer| {
-        while let Some(head) = head(reader) {
-            let body = body(reader, &head);
-            let broke = body.is_none();
-            tell.lock().expect("no panic").send(body).unwrap_or_default();
-            if broke || writer.write_all(answer("200 OK", "", "taken").as_bytes()).is_err() {
+        while let Some(head) = read_head(reader) {
+            let body = read_body(reader, &head);
+            let is_truncated = body.is_none();
+            sender.lock().expect("another thread panicked").send(body).unwrap_or_default();
+            if is_truncated || writer.write_all(http_response("200 OK", "", "taken").as_bytes()).is_err() {
                 return;
             }
         }
     });
-    (address, told)
+    (address, bodies)
 }
 
 #[test]
-fn a_long_request_goes_on_whole_in_every_form() {
-    let (upstream, told) = listening_upstream();
-    let (proxy, _roster) = proxy_for(&[upstream]);
+fn long_request_is_forwarded_in_every_coding() {
+    let (upstream, bodies) = body_recording_upstream();
+    let (proxy, _discovery) = proxy_for(&[upstream]);
     let sent = pattern(LONG);
     let mut client = proxy.client();
     for form in ["fixed", "chunked", "expected"] {
-        let mut text = open_post("pay", "").into_bytes();
+        let mut text = post_without_length("pay", "").into_bytes();
         match form {
             "chunked" => text.extend(b"Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n"),
             "expected" => {
@@ -122,9 +123,9 @@
             }
             _ => text.extend(format!("Content-Length: {LONG}\r\n\r\n").bytes()),
         }
-        client.stream.write_all(&text).expect("written");
+        client.stream.write_all(&text).expect("could not write");
         if form == "expected" {
-            assert_eq!(client.read().expect("an interim answer").status(), 100);
+            assert_eq!(client.read().expect("no interim response").status(), 100);
         }
         let mut from = 0;
         for piece in [1, 5, 70_000, 3].into_iter().cycle() {
@@ -132,14 +133,14 @@
             if form == "chunked" {
                 client.write(&format!("{:x};name=\"value\"\r\n", to - from));
             }
-            client.stream.write_all(&sent[from..to]).expect("written");
+            client.stream.write_all(&sent[from..to]).expect("could not write");
             if form == "chunked" {
                 client.write("\r\n");
             }
             from = to;
             if from > LONG / 2 && from < LONG / 2 + 70_000 {
-                // A request is taken with its last byte.
-                assert_eq!(proxy.figures()["concurrent"], 0, "{form}");
+                // A request is admitted only with its last byte.
+                assert_eq!(proxy.metrics()["concurrent"], 0, "{form}");
             }
             if from == LONG {
                 break;
@@ -148,20 +149,21 @@
         if form == "chunked" {
             client.write("0\r\nX-Sum: 7\r\n\r\n");
         }
-        let answered = client.read().expect("an answer");
-        assert_eq!((answered.status(), answered.body.as_slice()), (200, &b"taken"[..]), "{form}");
-        let came = told.recv_timeout(HANG).expect("a request").expect("a whole body");
-        assert!(came == sent, "{form}: {} bytes, or others than were sent", came.len());
+        let response = client.read().expect("no response");
+        assert_eq!((response.status(), response.body.as_slice()), (200, &b"taken"[..]), "{form}");
+        let received =
+            bodies.recv_timeout(TEST_TIMEOUT).expect("no request arrived").expect("the body is incomplete");
+        assert!(received == sent, "{form}: {} bytes that differ from those sent", received.len());
     }
 }
 
 #[test]
-fn a_long_answer_goes_on_whole_in_every_form_and_before_its_end() {
+fn long_response_is_streamed_in_every_coding() {
     let (go, gate) = channel::<()>();
     let gate = Mutex::new(gate);
     let upstream = raw_upstream(move |reader, writer| {
         let sent = pattern(LONG);
-        while let Some(head) = head(reader) {
+        while let Some(head) = read_head(reader) {
             let half = LONG / 2;
             let start = match () {
                 _ if head.contains("/fixed") => format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n"),
@@ -173,11 +175,11 @@
                 }
                 _ => "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".to_owned(),
             };
-            let mut write = |bytes: &[u8]| writer.write_all(bytes).expect("the proxy reads");
+            let mut write = |bytes: &[u8]| writer.write_all(bytes).expect("could not write the response");
             write(start.as_bytes());
             for (n, part) in [&sent[..half], &sent[half..]].into_iter().enumerate() {
                 if n == 1 {
-                    gate.lock().expect("no panic").recv().expect("told to go on");
+                    gate.lock().expect("another thread panicked").recv().expect("the test has ended");
                 }
                 if head.contains("/chunked") {
                     write(format!("{:X};x=y\r\n", part.len()).as_bytes());
@@ -194,28 +196,29 @@
             }
         }
     });
-    let (proxy, _roster) = proxy_for(&[upstream]);
+    let (proxy, _discovery) = proxy_for(&[upstream]);
     let wanted = pattern(LONG);
     for form in ["fixed", "interim", "chunked", "ended"] {
         let mut client = proxy.client();
-        client.write(&look(3000).replace("/look/7", &format!("/look/{form}")));
-        let mut reader = BufReader::new(client.stream.try_clone().expect("a second handle"));
-        let head = head(&mut reader).expect("a head before the end");
+        client.write(&look_request(3000).replace("/look/7", &format!("/look/{form}")));
+        let mut reader = BufReader::new(client.stream.try_clone().expect("could not clone the socket"));
+        let head = read_head(&mut reader).expect("no response head");
         assert!(head.starts_with("http/1.1 200 "), "{form}: {head}");
-        assert_eq!(proxy.figures()["concurrent"], 1, "{form}");
-        go.send(()).expect("the host waits");
-        let came = body(&mut reader, &head).expect("a whole body");
-        assert!(came == wanted, "{form}: {} bytes, or others than were sent", came.len());
+        assert_eq!(proxy.metrics()["concurrent"], 1, "{form}");
+        go.send(()).expect("the upstream thread has ended");
+        let received = read_body(&mut reader, &head).expect("the body is incomplete");
+        assert!(received == wanted, "{form}: {} bytes that differ from those sent", received.len());
     }
-    while proxy.figures()["concurrent"] != 0 {}
-    assert_eq!(proxy.figures()["success"]["look"], 4);
+    while proxy.metrics()["concurrent"] != 0 {}
+    assert_eq!(proxy.metrics()["success"]["look"], 4);
 }
 
-/// Guards against half an answer that passes for a whole one: the client can tell, and so can the figures.
+/// A long response is forwarded before it is complete. If it breaks off, the client must be able to see
+/// that, and the metrics count an error.
 #[test]
-fn a_long_answer_that_breaks_off_looks_broken() {
+fn truncated_long_response_is_visible_to_client() {
     let upstream = raw_upstream(|reader, writer| {
-        let Some(head) = head(reader) else { return };
+        let Some(head) = read_head(reader) else { return };
         let form = if head.contains("/chunked") {
             "Transfer-Encoding: chunked\r\n\r\n400000\r\n".to_owned()
         } else if head.contains("/malformed") {
@@ -230,118 +233,139 @@
             let _ = writer.write_all(b"\r\nno length\r\n");
         }
     });
-    let (proxy, _roster) = proxy_for(&[upstream]);
+    let (proxy, _discovery) = proxy_for(&[upstream]);
     for (n, form) in ["fixed", "chunked", "malformed"].into_iter().enumerate() {
         let mut client = proxy.client();
-        client.write(&look(3000).replace("/look/7", &format!("/look/{form}")));
-        let mut reader = BufReader::new(client.stream.try_clone().expect("a second handle"));
-        let head = head(&mut reader).expect("a head");
+        client.write(&look_request(3000).replace("/look/7", &format!("/look/{form}")));
+        let mut reader = BufReader::new(client.stream.try_clone().expect("could not clone the socket"));
+        let head = read_head(&mut reader).expect("no message head");
         assert!(head.starts_with("http/1.1 200 "), "{form}: {head}");
-        assert_eq!(body(&mut reader, &head), None, "{form}");
-        assert_eq!(proxy.figures()["error"]["look"], n + 1, "{form}");
+        assert_eq!(read_body(&mut reader, &head), None, "{form}");
+        assert_eq!(proxy.metrics()["error"]["look"], n + 1, "{form}");
     }
 }
 
-/// Guards against a request left without any answer: the head came early, and the break is right behind the
-/// first bytes, so that it is known before any of the answer has left.
+/// The head of a response comes early, and the break right behind its first body bytes, so that the client
+/// proxy knows of the break before it has written any of the response. The client must still receive a
+/// response.
 #[test]
-fn an_answer_that_breaks_right_behind_its_first_bytes_is_still_an_answer() {
+fn response_broken_after_first_chunk_is_sent() {
     let upstream = raw_upstream(|reader, writer| {
-        if head(reader).is_some() {
+        if read_head(reader).is_some() {
             let _ = writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            // Longer than a proxy looks at an answer before it passes it on.
+            // Longer than the client proxy waits for more of a response before it forwards it.
             std::thread::sleep(std::time::Duration::from_millis(40));
             let _ = writer.write_all(b"3\r\nabc\r\n");
         }
     });
-    let (proxy, _roster) = proxy_for(&[upstream]);
+    let (proxy, _discovery) = proxy_for(&[upstream]);
     for _ in 0..20 {
         let mut client = proxy.client();
         client.write(&post("pay", 3000, "", ""));
-        let mut reader = BufReader::new(client.stream.try_clone().expect("a second handle"));
-        let head = head(&mut reader).expect("an answer");
+        let mut reader = BufReader::new(client.stream.try_clone().expect("could not clone the socket"));
+        let head = read_head(&mut reader).expect("no response");
         match &head[..13] {
-            "http/1.1 200 " => assert_eq!(body(&mut reader, &head), None, "the client can tell"),
+            "http/1.1 200 " => assert_eq!(
+                read_body(&mut reader, &head),
+                None,
+                "the client can see that the body is truncated"
+            ),
             other => assert_eq!(other, "http/1.1 502 "),
         }
     }
 }
 
-/// Guards against half a body sent twice: what was not kept is not repeated, what was kept is.
+/// A body that is not fully buffered any more cannot be retried: only its second half would be sent. A body
+/// that is still buffered is retried.
 #[test]
-fn a_long_request_is_sent_again_only_where_none_of_it_is_lost() {
-    // Turned away after all of it was sent.
-    let (tell, told) = channel();
-    let tell = Mutex::new(tell);
-    let turns_away = Arc::new(move |reader: &mut BufReader<TcpStream>, writer: &mut TcpStream| {
-        while let Some(head) = head(reader) {
-            let whole = body(reader, &head).is_some();
-            tell.lock().expect("no panic").send(whole).unwrap_or_default();
-            let _ =
-                writer.write_all(answer("503 Service Unavailable", "X-Turned-Away: 1\r\n", "").as_bytes());
+fn only_buffered_request_is_retried() {
+    // Rejected after all of it was sent.
+    let (sender, bodies) = channel();
+    let sender = Mutex::new(sender);
+    let reject = Arc::new(move |reader: &mut BufReader<TcpStream>, writer: &mut TcpStream| {
+        while let Some(head) = read_head(reader) {
+            let is_complete = read_body(reader, &head).is_some();
+            sender.lock().expect("another thread panicked").send(is_complete).unwrap_or_default();
+            let _ = writer
+                .write_all(http_response("503 Service Unavailable", "X-Turned-Away: 1\r\n", "").as_bytes());
         }
     });
     let upstreams = [0, 1].map(|_| {
-        let turns_away = Arc::clone(&turns_away);
-        raw_upstream(move |reader, writer| turns_away(reader, writer))
+        let reject = Arc::clone(&reject);
+        raw_upstream(move |reader, writer| reject(reader, writer))
     });
-    let (proxy, _roster) = proxy_for(&upstreams);
-    let long = String::from_utf8(vec![b'x'; LONG]).expect("text");
-    assert_eq!(proxy.client().ask(&post("pay", 3000, "", &long)).status(), 503);
-    assert!(told.recv_timeout(HANG).expect("an attempt"));
-    assert!(told.try_recv().is_err(), "a second attempt");
-    // Short ones are repeated.
-    assert_eq!(proxy.client().ask(&post("keep", 3000, KEY, "short")).status(), 503);
+    let (proxy, _discovery) = proxy_for(&upstreams);
+    let long = String::from_utf8(vec![b'x'; LONG]).expect("stderr is not UTF-8");
+    assert_eq!(proxy.client().round_trip(&post("pay", 3000, "", &long)).status(), 503);
+    assert!(bodies.recv_timeout(TEST_TIMEOUT).expect("no attempt arrived"));
+    assert!(bodies.try_recv().is_err(), "a second attempt");
+    // Short bodies stay buffered, so they are retried.
+    assert_eq!(proxy.client().round_trip(&post("keep", 3000, KEY, "short")).status(), 503);
     for _ in 0..2 {
-        assert!(told.recv_timeout(HANG).expect("an attempt"));
+        assert!(bodies.recv_timeout(TEST_TIMEOUT).expect("no attempt arrived"));
     }
 
-    // Nobody listens there, so nothing was lost.
-    let (upstream, told) = listening_upstream();
-    let gone = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let (proxy, _roster) = proxy_for(&[gone, upstream]);
+    // The connection is refused, so nothing of the body was sent.
+    let (upstream, bodies) = body_recording_upstream();
+    let unused_address = TcpListener::bind("127.0.0.1:0")
+        .expect("could not bind a loopback port")
+        .local_addr()
+        .expect("no local address");
+    let (proxy, _discovery) = proxy_for(&[unused_address, upstream]);
     for _ in 0..4 {
-        assert_eq!(proxy.client().ask(&post("pay", 3000, "", &long)).status(), 200);
-        assert_eq!(told.recv_timeout(HANG).expect("a request").expect("a whole body").len(), LONG);
+        assert_eq!(proxy.client().round_trip(&post("pay", 3000, "", &long)).status(), 200);
+        assert_eq!(
+            bodies
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("no request arrived")
+                .expect("the body is incomplete")
+                .len(),
+            LONG
+        );
     }
 }
 
-/// Guards against a body that is never whole passed off as one, and against places held by those who send it.
+/// An incomplete request body must not reach the endpoint as a complete one, and a client that stops in the
+/// middle of its body must not keep its slots.
 #[test]
-fn a_long_request_that_stops_or_lies_ends_with_an_error_or_a_close() {
-    let (upstream, told) = listening_upstream();
-    let (proxy, _roster) = proxy_for(&[upstream]);
+fn incomplete_long_request_is_not_forwarded_complete() {
+    let (upstream, bodies) = body_recording_upstream();
+    let (proxy, _discovery) = proxy_for(&[upstream]);
     let half = "x".repeat(200_000);
-    for (what, form, closes) in [
-        ("stops", "Content-Length: 400000\r\n\r\n", false),
-        ("breaks off", "Content-Length: 400000\r\n\r\n", true),
+    for (case, form, is_half_closed) in [
+        ("stalls", "Content-Length: 400000\r\n\r\n", false),
+        ("is truncated", "Content-Length: 400000\r\n\r\n", true),
         ("is malformed", "Transfer-Encoding: chunked\r\n\r\n30D40\r\n", false),
     ] {
         let mut client = proxy.client();
-        client.write(&format!("{}{form}{half}", open_post("pay", "")));
-        if what == "is malformed" {
+        client.write(&format!("{}{form}{half}", post_without_length("pay", "")));
+        if case == "is malformed" {
             client.write("\r\nno length\r\n");
         }
-        if closes {
-            client.stream.shutdown(std::net::Shutdown::Write).expect("half closed");
+        if is_half_closed {
+            client.stream.shutdown(std::net::Shutdown::Write).expect("could not shut down the sending side");
         }
-        if let Some(answered) = client.read() {
-            assert!((400..600).contains(&answered.status()), "{what}: {}", answered.start);
+        if let Some(response) = client.read() {
+            assert!((400..600).contains(&response.status()), "{case}: {}", response.start);
         }
-        assert_eq!(told.recv_timeout(HANG).expect("an attempt"), None, "{what}: passed off as whole");
+        assert_eq!(
+            bodies.recv_timeout(TEST_TIMEOUT).expect("no attempt arrived"),
+            None,
+            "{case}: forwarded as complete"
+        );
     }
-    let figures = proxy.figures();
-    assert_eq!((&figures["concurrent"], &figures["dispatches"]), (&json!(0), &json!(0)));
+    let metrics = proxy.metrics();
+    assert_eq!((&metrics["concurrent"], &metrics["dispatches"]), (&json!(0), &json!(0)));
 }
 
-/// Guards against memory that fills with what nobody reads yet: many long answers at once, to clients that
-/// rest.
+/// Many long responses at once, to clients that do not read, would fill the memory if the client proxy
+/// buffered them without limit.
 #[test]
-fn long_answers_to_slow_readers_do_not_fill_the_memory() {
+fn slow_readers_do_not_exhaust_memory() {
     const EACH: usize = 24 << 20;
     let upstream = raw_upstream(|reader, writer| {
         let piece = vec![b'x'; 1 << 20];
-        while head(reader).is_some() {
+        while read_head(reader).is_some() {
             let _ = writer.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {EACH}\r\n\r\n").as_bytes());
             for _ in 0..EACH / piece.len() {
                 if writer.write_all(&piece).is_err() {
@@ -350,29 +374,36 @@
             }
         }
     });
-    let (proxy, _roster) = proxy_for(&[upstream]);
-    // Each gets its first bytes while none of the others is read.
+    let (proxy, _discovery) = proxy_for(&[upstream]);
+    // Each client gets the first bytes of its response while no other client reads.
     let mut readers: Vec<_> = (0..12)
         .map(|_| {
             let mut client = proxy.client();
-            client.write(&look(3000));
+            client.write(&look_request(3000));
             let mut reader = BufReader::new(client.stream);
-            assert!(head(&mut reader).expect("a head").starts_with("http/1.1 200 "));
+            assert!(read_head(&mut reader).expect("no message head").starts_with("http/1.1 200 "));
             reader
         })
         .collect();
-    // In turn, so that all of them go on, however slowly.
+    // Reads in turn, so that all responses make progress.
     let mut buffer = vec![0; 1 << 20];
-    let mut left = vec![EACH; readers.len()];
-    while left.iter().any(|left| *left > 0) {
-        for (reader, left) in readers.iter_mut().zip(&mut left).filter(|(_, left)| **left > 0) {
-            let most = buffer.len().min(*left);
-            let read = reader.read(&mut buffer[..most]).expect("more");
-            assert!(read > 0, "{left} bytes are missing");
-            *left -= read;
+    let mut unread = vec![EACH; readers.len()];
+    while unread.iter().any(|unread| *unread > 0) {
+        for (reader, unread) in readers.iter_mut().zip(&mut unread).filter(|(_, unread)| **unread > 0) {
+            let length = buffer.len().min(*unread);
+            let read = reader.read(&mut buffer[..length]).expect("could not read the response");
+            assert!(read > 0, "{unread} bytes are missing");
+            *unread -= read;
         }
     }
-    let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).expect("it runs");
-    let most = status.split("VmHWM:").nth(1).expect("told").split_whitespace().next().expect("a number");
-    assert!(most.parse::<usize>().expect("kB") < 48_000, "{most} kB");
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).expect("the process has ended");
+    let peak_kb = status
+        .split("VmHWM:")
+        .nth(1)
+        .expect("no VmHWM in status")
+        .split_whitespace()
+        .next()
+        .expect("not a number");
+    assert!(peak_kb.parse::<usize>().expect("not a number of kB") < 48_000, "{peak_kb} kB");
 }
--- a/client-proxy/tests/clients.rs
+++ b/client-proxy/tests/clients.rs
@@ -1,4 +1,4 @@
-//! What clients may send, and what they get for it.
+//! Input that clients may send, and the responses to it.
 
 mod common;
 
@@ -10,28 +10,28 @@
 const KEY: &str = "Idempotency-Key: 5c0f\r\n";
 
 fn upstream() -> Upstream {
-    Upstream::start(|_| Act::Say(answer("200 OK", "", "fine")))
+    Upstream::start(|_| Reply::Send(http_response("200 OK", "", "fine")))
 }
 
 #[test]
-fn readiness_follows_the_list_of_upstreams() {
+fn ready_requires_an_endpoint_list() {
     let upstream = upstream();
-    let (proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
-    assert_eq!(proxy.client().ask(READY).status(), 200);
+    let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
+    assert_eq!(proxy.client().round_trip(READY_REQUEST).status(), 200);
 
-    // Nobody answers as discovery, and nothing is known from before.
-    let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let proxy = Proxy::start(&config(silent.local_addr().expect("bound"), settings()));
-    assert_eq!(proxy.client().ask(READY).status(), 503);
+    // Discovery never responds, and no list is known from an earlier process.
+    let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+    let proxy = Proxy::start(&config(silent.local_addr().expect("no local address"), settings()));
+    assert_eq!(proxy.client().round_trip(READY_REQUEST).status(), 503);
 }
 
-/// Guards against input that no client ought to send: answered at once, never as a refusal, and it stops
-/// nothing.
+/// Malformed input is rejected at once with a 4xx or 505, never with the 503 of overload, and other clients
+/// are still served.
 #[test]
-fn bad_requests_get_a_4xx_and_stop_nothing() {
+fn bad_requests_disturb_no_other_client() {
     let upstream = upstream();
-    let (proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
-    let good = look(3000);
+    let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
+    let good = look_request(3000);
     let cases = [
         ("no class", good.replace("X-Lane: look\r\n", ""), 400),
         ("unknown class", good.replace("X-Lane: look", "X-Lane: nothing"), 400),
@@ -60,114 +60,114 @@
             "a chunk without a length",
             format!(
                 "{}Transfer-Encoding: chunked\r\n\r\nxyz\r\nabc\r\n0\r\n\r\n",
-                post("pay", 3000, "", "").split("Content-Length").next().expect("a head")
+                post("pay", 3000, "", "").split("Content-Length").next().expect("no message head")
             ),
             400,
         ),
         ("no HTTP", "what is this\r\n\r\n".into(), 400),
         ("a bad header", "GET / HTTP/1.1\r\nno colon here\r\n\r\n".into(), 400),
     ];
-    for (what, text, status) in cases {
+    for (case, text, status) in cases {
         let mut client = proxy.client();
-        assert_eq!(client.ask(&text).status(), status, "{what}");
-        assert_eq!(proxy.client().ask(&good).status(), 200, "after: {what}");
-        assert_eq!(upstream.request().1.start, "GET /look/7?q=1 HTTP/1.1", "passed on: {what}");
-        assert_eq!(upstream.requests_so_far(), 0, "passed on: {what}");
+        assert_eq!(client.round_trip(&text).status(), status, "{case}");
+        assert_eq!(proxy.client().round_trip(&good).status(), 200, "after: {case}");
+        assert_eq!(upstream.next_request().1.start, "GET /look/7?q=1 HTTP/1.1", "forwarded: {case}");
+        assert_eq!(upstream.take_request_count(), 0, "forwarded: {case}");
     }
-    // Half a request, then nothing: that client is on its own.
+    // A client that stalls in the middle of its request delays no other client.
     proxy.client().write("GET /look HTTP/1.1\r\nX-La");
-    assert_eq!(proxy.client().ask(&good).status(), 200);
+    assert_eq!(proxy.client().round_trip(&good).status(), 200);
 }
 
-/// Guards against places held by peers that ask and ask but read none of their answers.
+/// A client that sends requests without reading the responses would keep its slot for good.
 #[test]
-fn a_peer_that_reads_no_answers_is_let_go() {
+fn client_that_reads_no_responses_is_disconnected() {
     let upstream = upstream();
-    let (proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
+    let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
     let mut peer = proxy.client();
-    peer.stream.set_write_timeout(Some(HANG)).expect("a time limit");
-    let asked = READY.repeat(1000);
-    // Once the way back is full nothing more is read of it, so a write waits until the connection is closed.
+    peer.stream.set_write_timeout(Some(TEST_TIMEOUT)).expect("could not set the read timeout");
+    let requests = READY_REQUEST.repeat(1000);
+    // Once the send buffer to this client is full, nothing more is read from it, so the write blocks until
+    // the connection is closed.
     let error = loop {
-        if let Err(error) = peer.stream.write_all(asked.as_bytes()) {
+        if let Err(error) = peer.stream.write_all(requests.as_bytes()) {
             break error;
         }
     };
     assert!(matches!(error.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe), "{error}");
 }
 
-/// Guards against the rest of a bad request read as a good one that no client sent.
+/// Bytes that follow a bad request, such as its body, could be taken for a request that no client sent.
 #[test]
-fn what_follows_a_bad_request_is_not_passed_on() {
+fn nothing_behind_a_bad_request_is_forwarded() {
     let upstream = upstream();
-    let (proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
+    let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
     for status in [400, 405] {
         let bad = match status {
-            400 => look(3000).replace("X-Lane: look\r\n", ""),
+            400 => look_request(3000).replace("X-Lane: look\r\n", ""),
             _ => post("pay", 3000, KEY, "").replace("Content-Length: 0", "Content-Length: 70000"),
         };
         let mut client = proxy.client();
-        client.write(&(bad + &look(3000)));
-        assert_eq!(client.read().expect("an answer").status(), status);
-        assert!(client.ends(), "{status}");
+        client.write(&(bad + &look_request(3000)));
+        assert_eq!(client.read().expect("no response").status(), status);
+        assert!(client.read_until_closed(), "{status}");
     }
-    assert_eq!(upstream.requests_so_far(), 0);
+    assert_eq!(upstream.take_request_count(), 0);
 }
 
-/// Guards against places held by peers that send nothing whole, however long they say they would wait.
+/// A client that never completes a request would keep its slot for good, whatever deadline it names.
 #[test]
-fn a_peer_without_a_whole_request_is_let_go() {
+fn client_without_complete_request_is_disconnected() {
     let upstream = upstream();
-    let (proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
+    let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
     let half = post("pay", 600_000, "", "abc").replace("abc", "a");
-    for (what, text) in [
+    for (case, text) in [
         ("nothing", ""),
         ("half a head", "GET /look HTTP/1.1\r\nX-La"),
         ("half a body", &half),
-        ("one request, then nothing", READY),
+        ("one request, then nothing", READY_REQUEST),
     ] {
         let mut client = proxy.client();
         client.write(text);
-        assert!(client.ends(), "still open: {what}");
+        assert!(client.read_until_closed(), "still open: {case}");
     }
-    assert_eq!(upstream.requests_so_far(), 0);
+    assert_eq!(upstream.take_request_count(), 0);
 }
 
-/// Guards against an answer held back: what the decisions have given up on goes out, with word of when to
-/// come back.
+/// A request that cannot be sent anywhere is rejected in time, and `Retry-After` says when to retry.
 #[test]
-fn a_refusal_says_when_to_come_back() {
-    let (proxy, _roster) = Proxy::with_upstreams(&[]);
-    let refused = proxy.client().ask(&look(1000));
-    assert_eq!((refused.status(), refused.header("Retry-After")), (503, Some("0.250")));
+fn rejection_has_retry_after() {
+    let (proxy, _discovery) = Proxy::with_upstreams(&[]);
+    let rejected = proxy.client().round_trip(&look_request(1000));
+    assert_eq!((rejected.status(), rejected.header("Retry-After")), (503, Some("0.250")));
 }
 
-/// Guards against a body in pieces read as a whole one.
+/// A chunked body that arrives in several parts must not be forwarded without its later chunks.
 #[test]
-fn a_body_in_chunks_goes_on_whole() {
+fn chunked_body_is_forwarded_complete() {
     let upstream = upstream();
-    let (proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
+    let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
     let text = post("pay", 3000, "", "");
-    let head = text.split("Content-Length").next().expect("a head");
+    let head = text.split("Content-Length").next().expect("no message head");
     let mut client = proxy.client();
     client.write(&format!("{head}Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"));
     client.write("2\r\nde\r\n0\r\n\r\n");
-    assert_eq!(client.read().expect("an answer").status(), 200);
-    assert_eq!(upstream.request().1.body, b"abcde");
+    assert_eq!(client.read().expect("no response").status(), 200);
+    assert_eq!(upstream.next_request().1.body, b"abcde");
 }
 
-/// Guards against running out of descriptors: clients beyond the budget wait, those within it are served,
-/// since upstreams have a part of it for themselves.
+/// Without a limit on clients, the process would run out of descriptors. Clients beyond the limit wait;
+/// those within it are served, since sockets for upstream connections are reserved.
 #[test]
-fn clients_beyond_the_budget_wait_for_a_place() {
+fn clients_beyond_socket_budget_wait() {
     let upstream = upstream();
     let discovery_server = DiscoveryServer::start(json!([endpoint("h", upstream.address, "SERVING")]));
     let mut config = config(discovery_server.address, settings());
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::start(&config);
-    discovery_server.wait_until_known();
+    discovery_server.wait_until_list_received();
     let mut crowd: Vec<Client> = (0..80).map(|_| proxy.client()).collect();
-    assert_eq!(crowd[0].ask(&look(3000)).status(), 200);
+    assert_eq!(crowd[0].round_trip(&look_request(3000)).status(), 200);
     crowd.truncate(1);
-    assert_eq!(proxy.client().ask(&look(3000)).status(), 200);
+    assert_eq!(proxy.client().round_trip(&look_request(3000)).status(), 200);
 }
--- a/client-proxy/tests/common/client.rs
+++ b/client-proxy/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! A client connection.
+//! A client connection to the program under test.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -13,46 +13,48 @@
 
 impl Client {
     pub fn new(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).expect("accepted");
-        stream.set_read_timeout(Some(HANG)).expect("a time limit");
-        Client { reader: BufReader::new(stream.try_clone().expect("a second handle")), stream }
+        let stream = TcpStream::connect(address).expect("could not connect");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("could not set the read timeout");
+        Client { reader: BufReader::new(stream.try_clone().expect("could not clone the socket")), stream }
     }
 
     pub fn write(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("written");
+        self.stream.write_all(text.as_bytes()).expect("could not write");
     }
 
-    /// The next answer; `None` where the client proxy has closed.
+    /// Reads the next response; `None` if the client proxy has closed the connection.
     pub fn read(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
 
-    /// Reads all that still comes; whether the client proxy then closes.
-    pub fn ends(&mut self) -> bool {
+    /// Reads to the end of the stream. True if the client proxy closes or resets the connection, false if
+    /// the read fails otherwise, as by its timeout.
+    pub fn read_until_closed(&mut self) -> bool {
         match self.reader.read_to_end(&mut Vec::new()) {
             Ok(_) => true,
             Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
         }
     }
 
-    pub fn ask(&mut self, text: &str) -> Message {
+    pub fn round_trip(&mut self, text: &str) -> Message {
         self.write(text);
-        self.read().expect("an answer")
+        self.read().expect("no response")
     }
 
-    /// Closes the connection at once. A drop alone does so only when the programs that other tests are
-    /// starting at the moment have closed their copies of its descriptor.
+    /// Closes the connection at once. Dropping the stream may close it late: a program that another test
+    /// starts holds copies of all descriptors until it has executed.
     pub fn close(self) {
         self.stream.shutdown(Shutdown::Both).expect("open");
     }
 
-    /// Resets the connection at once, as above.
+    /// Resets the connection at once, as [`Client::close`] closes it.
     pub fn reset(self) {
         rustix::net::connect_unspec(&self.stream).expect("open");
     }
 }
 
-/// Waits until what came before has been taken up, which the answer to a request that needs nothing shows.
-pub fn wait_until_taken_up(proxy: &Proxy) {
-    assert_eq!(proxy.client().ask(READY).status(), 200);
+/// Waits until the client proxy has processed everything sent before: it has once it responds to a later
+/// request that needs no endpoint.
+pub fn wait_until_processed(proxy: &Proxy) {
+    assert_eq!(proxy.client().round_trip(READY_REQUEST).status(), 200);
 }
--- a/client-proxy/tests/common/discovery_server.rs
+++ b/client-proxy/tests/common/discovery_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery.
+//! A scripted discovery server.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,87 +9,97 @@
 
 use super::*;
 
-/// What discovery has to tell.
-struct Told {
+/// The list that discovery publishes.
+struct PublishedList {
     index: u64,
     endpoints: Value,
     snapshot: bool,
-    /// Header lines of each answer.
+    /// Extra header lines of each response.
     headers: String,
 }
 
-/// Discovery as an agent that pushes: watches are answered when the list changes.
+/// A discovery server that holds each watch until the list changes or the wait of the watch is over.
 pub struct DiscoveryServer {
     pub address: SocketAddr,
-    told: Arc<(Mutex<Told>, Condvar)>,
-    /// The path of each call.
-    pub calls: Receiver<String>,
+    published: Arc<(Mutex<PublishedList>, Condvar)>,
+    /// The path of each poll.
+    pub polls: Receiver<String>,
 }
 
 impl DiscoveryServer {
     pub fn start(endpoints: Value) -> DiscoveryServer {
-        DiscoveryServer::start_at("127.0.0.1:0".parse().expect("an address"), endpoints)
+        DiscoveryServer::start_at("127.0.0.1:0".parse().expect("invalid address"), endpoints)
     }
 
     pub fn start_at(address: SocketAddr, endpoints: Value) -> DiscoveryServer {
-        let listener = TcpListener::bind(address).expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let told = Told { index: 1, endpoints, snapshot: true, headers: String::new() };
-        let told = Arc::new((Mutex::new(told), Condvar::new()));
-        let (tell, calls) = channel();
-        let shared = Arc::clone(&told);
+        let listener = TcpListener::bind(address).expect("could not bind a loopback port");
+        let address = listener.local_addr().expect("no local address");
+        let published = PublishedList { index: 1, endpoints, snapshot: true, headers: String::new() };
+        let published = Arc::new((Mutex::new(published), Condvar::new()));
+        let (sender, polls) = channel();
+        let shared = Arc::clone(&published);
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let (shared, tell) = (Arc::clone(&shared), tell.clone());
-                std::thread::spawn(move || answer_calls(stream.expect("a connection"), &shared, &tell));
+                let (shared, sender) = (Arc::clone(&shared), sender.clone());
+                std::thread::spawn(move || {
+                    serve_connection(stream.expect("accept failed"), &shared, &sender)
+                });
             }
         });
-        DiscoveryServer { address, told, calls }
+        DiscoveryServer { address, published, polls }
     }
 
-    /// Tells all watches of these entries, as a change or as the whole list.
-    pub fn tell(&self, endpoints: Value, snapshot: bool) {
-        let mut told = self.told.0.lock().expect("no panic");
-        (told.index, told.endpoints, told.snapshot) = (told.index + 1, endpoints, snapshot);
-        self.told.1.notify_all();
+    /// Publishes these entries to all watches, as a change or as a full snapshot.
+    pub fn publish(&self, endpoints: Value, snapshot: bool) {
+        let mut published = self.published.0.lock().expect("another thread panicked");
+        (published.index, published.endpoints, published.snapshot) =
+            (published.index + 1, endpoints, snapshot);
+        self.published.1.notify_all();
     }
 
-    /// Answers have these header lines from now on.
+    /// Adds these header lines to all later responses.
     pub fn add_headers(&self, lines: &str) {
-        self.told.0.lock().expect("no panic").headers = lines.to_owned();
+        self.published.0.lock().expect("another thread panicked").headers = lines.to_owned();
     }
 
-    pub fn call(&self) -> String {
-        self.calls.recv_timeout(HANG).expect("discovery was not asked")
+    pub fn next_poll(&self) -> String {
+        self.polls.recv_timeout(TEST_TIMEOUT).expect("no poll of discovery arrived")
     }
 
-    /// Waits until a watch has been begun after the version that is the newest now: all of it is known then.
-    pub fn wait_until_known(&self) {
-        let newest = format!("after={}&", self.told.0.lock().expect("no panic").index);
-        while !self.call().contains(&newest) {}
+    /// Waits until the client proxy begins a watch after the newest version: by then it has received all of
+    /// the list.
+    pub fn wait_until_list_received(&self) {
+        let newest = format!("after={}&", self.published.0.lock().expect("another thread panicked").index);
+        while !self.next_poll().contains(&newest) {}
     }
 }
 
-fn answer_calls(mut stream: TcpStream, shared: &(Mutex<Told>, Condvar), tell: &Sender<String>) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-    while let Some(call) = read_message(&mut reader) {
-        let path = call.start.split(' ').nth(1).expect("a path").to_owned();
+fn serve_connection(
+    mut stream: TcpStream,
+    shared: &(Mutex<PublishedList>, Condvar),
+    sender: &Sender<String>,
+) {
+    let mut reader = BufReader::new(stream.try_clone().expect("could not clone the socket"));
+    while let Some(poll) = read_message(&mut reader) {
+        let path = poll.start.split(' ').nth(1).expect("missing path").to_owned();
         let number = |name: &str| {
             let rest = path.split(['?', '&']).find_map(|part| part.strip_prefix(name));
-            rest.map(|digits| digits.parse::<u64>().expect("a number"))
+            rest.map(|digits| digits.parse::<u64>().expect("not a number"))
         };
         let (after, wait) = (number("after="), Duration::from_millis(number("wait_ms=").unwrap_or(0)));
-        let _ = tell.send(path.clone());
-        let told = shared.0.lock().expect("no panic");
-        let waits = |told: &mut Told| after.is_some_and(|after| after >= told.index);
-        let (told, _) = shared.1.wait_timeout_while(told, wait, waits).expect("no panic");
-        let news = after.is_none_or(|after| after < told.index);
+        let _ = sender.send(path.clone());
+        let published = shared.0.lock().expect("another thread panicked");
+        let is_unchanged =
+            |published: &mut PublishedList| after.is_some_and(|after| after >= published.index);
+        let (published, _) =
+            shared.1.wait_timeout_while(published, wait, is_unchanged).expect("another thread panicked");
+        let has_changed = after.is_none_or(|after| after < published.index);
         let (entries, snapshot) =
-            if news { (told.endpoints.clone(), told.snapshot) } else { (json!([]), false) };
-        let list = json!({"index": told.index, "snapshot": snapshot, "endpoints": entries}).to_string();
-        let headers = told.headers.clone();
-        drop(told);
-        if stream.write_all(answer("200 OK", &headers, &list).as_bytes()).is_err() {
+            if has_changed { (published.endpoints.clone(), published.snapshot) } else { (json!([]), false) };
+        let list = json!({"index": published.index, "snapshot": snapshot, "endpoints": entries}).to_string();
+        let headers = published.headers.clone();
+        drop(published);
+        if stream.write_all(http_response("200 OK", &headers, &list).as_bytes()).is_err() {
             return;
         }
     }
--- a/client-proxy/tests/common/ending.rs
+++ b/client-proxy/tests/common/ending.rs
@@ -1,4 +1,5 @@
-//! A client proxy that ends: what its clients have by the earliest SIGKILL, and stand-ins that fill its memory.
+//! Helpers for the end of a client proxy: what its clients have received by the earliest SIGKILL, and
+//! endpoints that fill its memory.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,111 +10,113 @@
 
 use super::*;
 
-/// The deadline of all classes: so long that no answer of these tests comes for its sake.
-pub const DEADLINE: u64 = 60_000;
+/// Deadline of all classes, so long that no response in these tests is caused by it.
+pub const DEADLINE_MS: u64 = 60_000;
 
-/// Counted as 3 s, plus 0.7 s: the earliest SIGKILL after SIGTERM.
+/// Earliest SIGKILL after SIGTERM: the longest deadline, which counts as at most 3 s, plus 0.7 s.
 pub const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
 
-/// So long after SIGTERM connections that rest are closed.
-pub const CLOSING: Duration = Duration::from_millis(500);
+/// Time after SIGTERM at which idle connections are closed.
+pub const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(500);
 
-pub fn long_settings() -> Value {
+pub fn long_deadline_settings() -> Value {
     let mut settings = settings();
-    for class in settings["classes"].as_array_mut().expect("classes") {
-        class["hardLimit"] = json!(DEADLINE as f64);
-        class["aim"] = json!(DEADLINE as f64 / 4.0);
+    for class in settings["classes"].as_array_mut().expect("missing classes") {
+        class["hardLimit"] = json!(DEADLINE_MS as f64);
+        class["aim"] = json!(DEADLINE_MS as f64 / 4.0);
     }
-    // No verdict on an endpoint for a dial that the machine has kept waiting.
+    // A dial that a busy machine delays must not count as a failure of its endpoint.
     settings["limits"]["dialTimeout"] = json!(15_000.0);
     settings
 }
 
-pub fn start(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Proxy {
-    let mut config = config(discovery, long_settings());
+pub fn start_with_long_deadlines(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Proxy {
+    let mut config = config(discovery, long_deadline_settings());
     change(&mut config);
     Proxy::start(&config)
 }
 
-/// So many requests in flight at once would be too many for one endpoint: one that counts for several.
-pub fn as_several(address: SocketAddr) -> Value {
+/// Lists one endpoint under eight names, since the number of requests in flight in these tests is more than
+/// one endpoint is given.
+pub fn eight_endpoints_at(address: SocketAddr) -> Value {
     (0..8).map(|n| endpoint(&format!("h{n}"), address, "SERVING")).collect()
 }
 
-pub fn pay(remaining_ms: u64) -> String {
+pub fn pay_request(remaining_ms: u64) -> String {
     post("pay", remaining_ms, "", "")
 }
 
-/// A client proxy that has been sent SIGTERM, with a request in flight that only the last call answers.
-pub struct Ending {
+/// A client proxy that has been sent SIGTERM, with one request in flight that is answered only at the last
+/// call, just before the earliest SIGKILL.
+pub struct TerminatingProxy {
     pub proxy: Proxy,
     pub hung: Client,
     pub terminated: Instant,
 }
 
-impl Ending {
-    /// `hung` has a request in flight to an endpoint that says nothing.
-    pub fn begin(proxy: Proxy, hung: Client) -> Ending {
+impl TerminatingProxy {
+    /// Sends SIGTERM. `hung` has a request in flight to an endpoint that never responds.
+    pub fn start(proxy: Proxy, hung: Client) -> TerminatingProxy {
         let terminated = Instant::now();
         proxy.terminate();
-        Ending { proxy, hung, terminated }
+        TerminatingProxy { proxy, hung, terminated }
     }
 
-    /// Whether what has been written by now precedes the close of connections that rest, by any clock.
-    pub fn is_before_closing(&self) -> bool {
-        self.terminated.elapsed() < CLOSING
+    /// True if all that was written so far certainly precedes the close of idle connections.
+    pub fn is_before_idle_close(&self) -> bool {
+        self.terminated.elapsed() < IDLE_CLOSE_DELAY
     }
 
     pub fn sleep_until(&self, after_sigterm: Duration) {
         std::thread::sleep(after_sigterm.saturating_sub(self.terminated.elapsed()));
     }
 
-    /// Sends SIGKILL when it may first come. Where the program was held up, no sooner than it had the
-    /// processor for all that the last call brings: no verdict hangs on the speed of the machine.
+    /// Sends SIGKILL at the earliest time allowed, but not before the process has had the processor for all
+    /// responses of the last call: the speed of the machine must not decide the result of a test.
     pub fn kill(mut self) {
-        assert_eq!(self.hung.read().expect("an answer at the last call").status(), 502);
-        wait_until_at_rest(self.proxy.child.id());
+        assert_eq!(self.hung.read().expect("no response at the last call").status(), 502);
+        wait_until_sleeping(self.proxy.child.id());
         self.sleep_until(EARLIEST_KILL);
-        self.proxy.child.kill().expect("a process of this test");
-        self.proxy.child.wait().expect("ends");
+        self.proxy.child.kill().expect("could not kill the process");
+        self.proxy.child.wait().expect("could not wait for the process");
     }
 }
 
-/// Waits until the process has slept for a while, or again and again.
-pub fn wait_until_at_rest(pid: u32) {
-    const OFTEN: u64 = 50;
-    // Longer than any timer that an answer waits for.
-    const A_WHILE: Duration = Duration::from_millis(20);
-    let sleeps = || {
-        let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("not waited for yet");
+/// Waits until the process has slept through one interval, or has gone to sleep many times.
+pub fn wait_until_sleeping(pid: u32) {
+    const MANY_SLEEPS: u64 = 50;
+    // Longer than any timer that delays a response.
+    const INTERVAL: Duration = Duration::from_millis(20);
+    let sleep_count_if_asleep = || {
+        let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the process has ended");
         let value = |name: &str| {
-            let value = status.lines().find_map(|line| line.strip_prefix(name)).expect("a field");
+            let value = status.lines().find_map(|line| line.strip_prefix(name)).expect("missing field");
             value.trim_start_matches(':').trim().to_owned()
         };
         let is_asleep = !value("State").starts_with('R');
-        let times: u64 = value("voluntary_ctxt_switches").parse().expect("a number");
-        is_asleep.then_some(times)
+        let sleep_count: u64 = value("voluntary_ctxt_switches").parse().expect("not a number");
+        is_asleep.then_some(sleep_count)
     };
     let mut first = None;
     loop {
-        let before = sleeps();
-        std::thread::sleep(A_WHILE);
-        let after = sleeps();
+        let before = sleep_count_if_asleep();
+        std::thread::sleep(INTERVAL);
+        let after = sleep_count_if_asleep();
         first = first.or(before);
-        let often = first.zip(after).is_some_and(|(first, after)| after >= first + OFTEN);
-        if often || before.is_some() && before == after {
+        let has_slept_often = first.zip(after).is_some_and(|(first, after)| after >= first + MANY_SLEEPS);
+        if has_slept_often || before.is_some() && before == after {
             return;
         }
     }
 }
 
-/// Waits until the first byte of an answer has come, and leaves it where it is.
-pub fn wait_until_answered(client: &Client) {
+/// Waits until the first byte of a response has arrived, without reading it.
+pub fn wait_until_response_begins(client: &Client) {
     loop {
         match client.stream.peek(&mut [0]) {
             Ok(1) => return,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            other => panic!("no answer: {other:?}"),
+            other => panic!("the response did not begin: {other:?}"),
         }
     }
 }
@@ -121,14 +124,15 @@
 /// How a connection ended.
 #[derive(Debug, PartialEq)]
 pub enum End {
-    /// All that its client had sent was read.
+    /// A plain close: the client proxy had read everything that its client sent.
     Closed,
-    /// Some was not, or the client proxy broke it.
+    /// A reset: something was left unread, or the client proxy aborted the connection.
     Reset,
 }
 
-/// The status of each answer that came, and the end. For clients of which nothing has been read.
-pub fn outcome(client: &Client) -> (Vec<u16>, End) {
+/// Reads the status of each response and how the connection ended. Nothing may have been read from the
+/// client before.
+pub fn read_outcome(client: &Client) -> (Vec<u16>, End) {
     let (mut bytes, mut piece) = (Vec::new(), [0; 4096]);
     let end = loop {
         match (&client.stream).read(&mut piece) {
@@ -140,72 +144,76 @@
         }
     };
     let text = String::from_utf8_lossy(&bytes);
-    let codes = text.split("HTTP/1.1 ").skip(1).map(|rest| rest[..3].parse().expect("a status"));
+    let codes = text.split("HTTP/1.1 ").skip(1).map(|rest| rest[..3].parse().expect("invalid status"));
     (codes.collect(), end)
 }
 
-/// Each of so many requests of this client, all of them read, has its final answer.
-pub fn assert_answered(client: &Client, requests: usize, what: &str) -> Vec<u16> {
-    let (statuses, end) = outcome(client);
-    assert_eq!(statuses.len(), requests, "{what}: {statuses:?}, {end:?}");
-    assert!(statuses.iter().all(|status| matches!(status, 200 | 502 | 503)), "{what}: {statuses:?}");
+/// Asserts that this client, which has read nothing yet, receives exactly one final response to each of
+/// `requests` requests.
+pub fn assert_final_responses(client: &Client, requests: usize, context: &str) -> Vec<u16> {
+    let (statuses, end) = read_outcome(client);
+    assert_eq!(statuses.len(), requests, "{context}: {statuses:?}, {end:?}");
+    assert!(statuses.iter().all(|status| matches!(status, 200 | 502 | 503)), "{context}: {statuses:?}");
     statuses
 }
 
-/// An endpoint that reads on and on, says so once `FAR` bytes have come over a connection, and answers only
-/// what `says` anything for, with an answer that goes on for ever.
+/// An endpoint that reads without end and reports once `SINK_THRESHOLD_BYTES` have arrived on a connection.
+/// It responds to GET requests only, with `response_head` and an endless body; if that is empty, it never
+/// responds.
 pub struct Sink {
     pub address: SocketAddr,
-    pub far: Receiver<()>,
+    pub threshold_reached: Receiver<()>,
     pub heads: Receiver<String>,
 }
 
-/// More than a body that is held whole.
-pub const FAR: usize = 64 * 1024;
+/// More than the longest body that the client proxy buffers.
+pub const SINK_THRESHOLD_BYTES: usize = 64 * 1024;
 
-pub const ENDLESS: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n";
+pub const ENDLESS_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n";
 
 impl Sink {
-    pub fn start(says: &'static str) -> Sink {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let ((tell_far, far), (tell_head, heads)) = (channel(), channel());
+    pub fn start(response_head: &'static str) -> Sink {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+        let address = listener.local_addr().expect("no local address");
+        let ((threshold_sender, threshold_reached), (head_sender, heads)) = (channel(), channel());
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let (mut stream, tell_far, tell_head) =
-                    (stream.expect("a connection"), tell_far.clone(), tell_head.clone());
+                let (mut stream, threshold_sender, head_sender) =
+                    (stream.expect("accept failed"), threshold_sender.clone(), head_sender.clone());
                 std::thread::spawn(move || {
-                    let (mut got, mut piece) = (0, vec![0; 16 * 1024]);
+                    let (mut received, mut piece) = (0, vec![0; 16 * 1024]);
                     while let Ok(read @ 1..) = stream.read(&mut piece) {
-                        if got == 0 {
+                        if received == 0 {
                             let head = String::from_utf8_lossy(&piece[..read]).into_owned();
                             if head.starts_with("GET ") {
-                                let answering = stream.try_clone().expect("a second handle");
-                                std::thread::spawn(move || trickle(&answering, says));
+                                let response_stream = stream.try_clone().expect("could not clone the socket");
+                                std::thread::spawn(move || trickle(&response_stream, response_head));
                             }
-                            let _ = tell_head.send(head);
+                            let _ = head_sender.send(head);
                         }
-                        if got < FAR && got + read >= FAR {
-                            let _ = tell_far.send(());
+                        if received < SINK_THRESHOLD_BYTES && received + read >= SINK_THRESHOLD_BYTES {
+                            let _ = threshold_sender.send(());
                         }
-                        got += read;
+                        received += read;
                     }
                 });
             }
         });
-        Sink { address, far, heads }
+        Sink { address, threshold_reached, heads }
     }
 
-    pub fn wait_until_far(&self) {
-        self.far.recv_timeout(HANG).expect("the endpoint was sent little");
+    pub fn wait_until_threshold(&self) {
+        self.threshold_reached
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the endpoint received less than the threshold");
     }
 
     pub fn wait_for_head(&self) {
-        self.heads.recv_timeout(HANG).expect("the endpoint was sent nothing");
+        self.heads.recv_timeout(TEST_TIMEOUT).expect("the endpoint received no request");
     }
 }
 
-/// Writes `head`, if it is any, and then a little again and again.
+/// Writes `head`, unless it is empty, and then small pieces without end.
 pub fn trickle(mut stream: &TcpStream, head: &str) {
     if head.is_empty() || stream.write_all(head.as_bytes()).is_err() {
         return;
@@ -215,23 +223,25 @@
     }
 }
 
-/// Clients whose bodies take all the memory that there is for bodies that are held whole.
+/// Clients whose bodies take all of the memory for buffered bodies.
 pub fn fill_memory(proxy: &Proxy, sink: &Sink) -> Vec<Client> {
     let mut holders: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
     for holder in &mut holders {
-        holder.write(&post("pay", DEADLINE, "", &"x".repeat(64 * 1024)));
-        sink.wait_until_far();
+        holder.write(&post("pay", DEADLINE_MS, "", &"x".repeat(64 * 1024)));
+        sink.wait_until_threshold();
     }
     holders
 }
 
-/// A client proxy with little memory, the endpoint that it is sent to, and a request in flight there.
+/// A client proxy with little memory, its one endpoint, and a request in flight to it.
 pub fn with_little_memory(sink: &Sink) -> (Proxy, Client, DiscoveryServer) {
-    let discovery_server = DiscoveryServer::start(as_several(sink.address));
-    let proxy = start(discovery_server.address, |config| config["limits"]["memory_mb"] = json!(1));
-    discovery_server.wait_until_known();
+    let discovery_server = DiscoveryServer::start(eight_endpoints_at(sink.address));
+    let proxy = start_with_long_deadlines(discovery_server.address, |config| {
+        config["limits"]["memory_mb"] = json!(1)
+    });
+    discovery_server.wait_until_list_received();
     let mut hung = proxy.client();
-    hung.write(&pay(DEADLINE));
+    hung.write(&pay_request(DEADLINE_MS));
     sink.wait_for_head();
     (proxy, hung, discovery_server)
 }
--- a/client-proxy/tests/common/faults.rs
+++ b/client-proxy/tests/common/faults.rs
@@ -1,5 +1,5 @@
-//! A client proxy whose system calls fail as a plan says: the library of the package `fault-injection`,
-//! preloaded.
+//! Runs a client proxy whose system calls fail as a plan says, with the library of the package
+//! `fault-injection` preloaded.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -11,29 +11,30 @@
 use super::*;
 
 const PROGRAM: &str = "client-proxy";
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The plan of one process, which can be changed while it runs. A second process needs one of its own.
+/// The fault plan of one process, which can be replaced while the process runs. Each process needs a plan
+/// of its own.
 pub struct Faults {
     pub folder: PathBuf,
     pub program: &'static str,
-    /// How many plans there were; each has a file of counts of its own.
+    /// Number of plans so far; each has its own file of trigger counts.
     pub plans: AtomicU64,
 }
 
 impl Faults {
-    /// For a client proxy, with a plan as the package `fault-injection` describes it.
+    /// For a client proxy, with a plan in the format of the package `fault-injection`.
     pub fn new(plan: Value) -> Faults {
-        Faults::of(PROGRAM, plan)
+        Faults::for_program(PROGRAM, plan)
     }
 
-    /// For a program of this file name.
-    pub fn of(program: &'static str, plan: Value) -> Faults {
+    /// For the program with this file name.
+    pub fn for_program(program: &'static str, plan: Value) -> Faults {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let unique = format!("faults-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
         // The library replaces its file of counts within each call that it makes fail.
         let folder = memory_backed_dir().join(unique);
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("could not create the directory");
         let faults = Faults { folder, program, plans: AtomicU64::new(0) };
         faults.write(plan);
         faults
@@ -44,84 +45,88 @@
         self.start_with(config, |command| command)
     }
 
-    /// The same with what `more` adds to its environment.
-    pub fn start_with(&self, config: &Value, more: impl FnOnce(&mut Command) -> &mut Command) -> Proxy {
+    /// Like [`Faults::start`], with what `configure` adds to the environment.
+    pub fn start_with(&self, config: &Value, configure: impl FnOnce(&mut Command) -> &mut Command) -> Proxy {
         let command = Command::new(env!("CARGO_BIN_EXE_client-proxy"));
-        self.listening(Proxy::listening(spawn_by(command, config, |command| more(self.environment(command)))))
+        self.wait_until_in_force(Proxy::wait_until_listening(spawn_command(command, config, |command| {
+            configure(self.set_environment(command))
+        })))
     }
 
-    /// The same on a platform's listening socket and folder.
+    /// Like [`Faults::start`], on the listening socket and state folder of `platform`.
     pub fn start_on(&self, platform: &Platform, config: &Value) -> Proxy {
-        let passed = platform.listener.try_clone().expect("a second handle");
-        let child = spawn_passing(passed.into(), "4", config, |command| {
-            self.environment(command).env("TMPDIR", &platform.dir)
+        let descriptor = platform.listener.try_clone().expect("could not clone the socket");
+        let child = spawn_passing_descriptor(descriptor.into(), "4", config, |command| {
+            self.set_environment(command).env("TMPDIR", &platform.dir)
         });
-        self.listening(Proxy::listening(child))
+        self.wait_until_in_force(Proxy::wait_until_listening(child))
     }
 
-    /// What a program needs in its environment to be under the plan.
-    pub fn environment<'a>(&self, command: &'a mut Command) -> &'a mut Command {
+    /// Sets the environment variables that put a program under the plan.
+    pub fn set_environment<'a>(&self, command: &'a mut Command) -> &'a mut Command {
         command
             .env("LD_PRELOAD", library())
             .env("FAULT_INJECTION_PLAN", self.folder.join("plan"))
             .env("FAULT_INJECTION_PROGRAM", self.program)
     }
 
-    /// Has another plan take the place of the one before; returns once it is in force, with all counts at
-    /// zero.
-    pub fn change(&self, plan: Value) {
+    /// Replaces the plan; returns once the new one is in force, with all counts at zero.
+    pub fn replace_plan(&self, plan: Value) {
         self.write(plan);
         self.wait_until("the plan is in force", |counts| counts.is_some());
     }
 
-    /// How often the rule with this index has struck.
-    pub fn struck(&self, rule: usize) -> u64 {
-        self.counts().expect("a plan in force")[rule]
+    /// How often the rule with this index has been triggered.
+    pub fn trigger_count(&self, rule: usize) -> u64 {
+        self.counts().expect("no plan in force")[rule]
     }
 
-    /// Waits until the rule with this index has struck so many times.
-    pub fn wait_struck(&self, rule: usize, times: u64) {
-        let condition = format!("rule {rule} has struck {times} times");
+    /// Waits until the rule with this index has been triggered so many times.
+    pub fn wait_until_triggered(&self, rule: usize, times: u64) {
+        let condition = format!("rule {rule} has been triggered {times} times");
         self.wait_until(&condition, |counts| counts.is_some_and(|counts| counts[rule] >= times));
     }
 
-    fn listening(&self, proxy: Proxy) -> Proxy {
+    fn wait_until_in_force(&self, proxy: Proxy) -> Proxy {
         self.wait_until("the plan is in force", |counts| counts.is_some());
         proxy
     }
 
-    fn wait_until(&self, what: &str, condition: impl Fn(Option<&[u64]>) -> bool) {
+    fn wait_until(&self, condition_name: &str, condition: impl Fn(Option<&[u64]>) -> bool) {
         let begun = Instant::now();
         loop {
             let counts = self.counts();
             if condition(counts.as_deref()) {
                 return;
             }
-            assert!(begun.elapsed() < HANG, "never: {what}; counts {counts:?}");
-            std::thread::sleep(LOOK_EVERY);
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "timed out waiting until {condition_name}; counts {counts:?}"
+            );
+            std::thread::sleep(CHECK_INTERVAL);
         }
     }
 
     fn write(&self, mut plan: Value) {
         self.plans.fetch_add(1, Ordering::Relaxed);
-        plan["counts"] = self.counts_path().to_str().expect("a path in UTF-8").into();
+        plan["counts"] = self.counts_path().to_str().expect("path is not UTF-8").into();
         let new = self.folder.join("new");
-        std::fs::write(&new, plan.to_string()).expect("a plan");
-        std::fs::rename(new, self.folder.join("plan")).expect("a plan");
+        std::fs::write(&new, plan.to_string()).expect("could not write the plan");
+        std::fs::rename(new, self.folder.join("plan")).expect("could not write the plan");
     }
 
     fn counts_path(&self) -> PathBuf {
         self.folder.join(format!("counts-{}", self.plans.load(Ordering::Relaxed)))
     }
 
-    /// How often each rule has struck; `None` until the program has taken the plan up.
+    /// How often each rule has been triggered; `None` until the program has loaded the plan.
     fn counts(&self) -> Option<Vec<u64>> {
-        // A plan that is no good has no counts of its own.
+        // The library reports an invalid plan in this file.
         if let Ok(report) = std::fs::read_to_string(self.folder.join("plan.counts")) {
-            panic!("the plan is no good: {report}");
+            panic!("invalid fault plan: {report}");
         }
         let text = std::fs::read_to_string(self.counts_path()).ok()?;
-        Some(text.lines().map(|line| line.parse().expect("a count")).collect())
+        Some(text.lines().map(|line| line.parse().expect("not a count")).collect())
     }
 }
 
@@ -131,38 +136,41 @@
     }
 }
 
-/// The library, which Cargo has built beside the dependencies of this test.
+/// The preloaded library, which Cargo builds next to the dependencies of this test.
 fn library() -> PathBuf {
-    let test = std::env::current_exe().expect("the test's own path");
+    let test = std::env::current_exe().expect("no path of the test binary");
     let library = test.with_file_name("libfault_injection.so");
-    assert!(library.is_file(), "no {library:?}");
+    assert!(library.is_file(), "missing library {library:?}");
     library
 }
 
-/// A client's deadline in milliseconds, far beyond what any of these tests needs.
-pub const PATIENT: u64 = 3900;
+/// Deadline of a client, far longer than any of these tests needs.
+pub const LONG_DEADLINE_MS: u64 = 3900;
 
-/// A client proxy under a plan, with upstreams that answer; the plan is empty until its list is known.
-pub struct Under {
+/// A client proxy under a fault plan, with healthy upstreams. The plan is empty until the list has been
+/// received.
+pub struct FaultyProxy {
     pub faults: Faults,
     pub proxy: Proxy,
-    pub _roster: DiscoveryServer,
+    pub _discovery: DiscoveryServer,
 }
 
-impl Under {
-    pub fn start(upstreams: &[&Upstream], change: impl FnOnce(&mut Value)) -> Under {
-        let entries =
-            upstreams.iter().enumerate().map(|(i, h)| endpoint(&format!("h{i}"), h.address, "SERVING"));
+impl FaultyProxy {
+    pub fn start(upstreams: &[&Upstream], change: impl FnOnce(&mut Value)) -> FaultyProxy {
+        let entries = upstreams
+            .iter()
+            .enumerate()
+            .map(|(i, upstream)| endpoint(&format!("h{i}"), upstream.address, "SERVING"));
         let discovery_server = DiscoveryServer::start(Value::Array(entries.collect()));
         let mut config = config(discovery_server.address, settings());
         change(&mut config);
         let faults = Faults::new(json!({}));
         let proxy = faults.start(&config);
-        discovery_server.wait_until_known();
-        Under { faults, proxy, _roster: discovery_server }
+        discovery_server.wait_until_list_received();
+        FaultyProxy { faults, proxy, _discovery: discovery_server }
     }
 }
 
-pub fn sound_upstream() -> Upstream {
-    Upstream::start(|_| Act::Say(answer("200 OK", "", "yes")))
+pub fn healthy_upstream() -> Upstream {
+    Upstream::start(|_| Reply::Send(http_response("200 OK", "", "yes")))
 }
--- a/client-proxy/tests/common/messages.rs
+++ b/client-proxy/tests/common/messages.rs
@@ -1,9 +1,9 @@
-//! HTTP messages, as tests write and read them.
+//! HTTP messages, as the tests write and read them.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// One HTTP message as it came in.
+/// One HTTP message as received.
 #[derive(Debug, Clone, Default)]
 pub struct Message {
     pub start: String,
@@ -13,15 +13,18 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(header, _)| header.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status line")
+        self.start.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("invalid status line")
     }
 }
 
-/// Reads one message; `None` where the other side has closed or broken off.
+/// Reads one message; `None` if the peer has closed the connection or the message is incomplete.
 pub fn read_message(reader: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut message = Message::default();
     let mut line = String::new();
@@ -37,17 +40,17 @@
         let Some((name, value)) = line.trim_end().split_once(':') else { break };
         message.headers.push((name.to_owned(), value.trim().to_owned()));
     }
-    let length = message.header("content-length").map_or(0, |n| n.parse().expect("a length"));
+    let length = message.header("content-length").map_or(0, |digits| digits.parse().expect("invalid length"));
     message.body = vec![0; length];
     reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-pub fn answer(status: &str, headers: &str, body: &str) -> String {
+pub fn http_response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-pub fn look(remaining_ms: u64) -> String {
+pub fn look_request(remaining_ms: u64) -> String {
     format!(
         "GET /look/7?q=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: t1\r\nX-Lane: look\r\nX-Org: acme\r\n\
          Cookie: obj=k1\r\nX-Remaining-Ms: {remaining_ms}\r\n\r\n"
@@ -62,5 +65,5 @@
     )
 }
 
-/// A request that needs no endpoint.
-pub const READY: &str = "GET /ready HTTP/1.1\r\nHost: p\r\n\r\n";
+/// A request that the client proxy answers itself, without an endpoint.
+pub const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\nHost: p\r\n\r\n";
--- a/client-proxy/tests/common/mod.rs
+++ b/client-proxy/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A client proxy as its own process between upstreams, a discovery and a client that a test plays by hand,
-//! all on loopback addresses with ports from the system. Waiting is for events; the one time limit is against
-//! hanging.
-#![allow(dead_code, unused_imports)] // each test binary uses its own part
+//! Runs the client proxy as its own process between scripted upstreams, a scripted discovery server and
+//! test clients, all on loopback addresses with ports chosen by the system. Tests wait for events; the one
+//! timeout only ends a test that would otherwise hang.
+#![allow(dead_code, unused_imports)] // each test binary uses only some of the helpers
 
 pub mod faults;
 
@@ -24,12 +24,13 @@
 
 use serde_json::{Value, json};
 
-/// Far longer than anything takes: reached only where something hangs.
-pub const HANG: Duration = Duration::from_secs(20);
-/// With what the names of all stored files of the client proxy `n0` begin. Stored data keeps its names over versions.
-pub const STORED: &str = "martensill-n0";
+/// Upper bound of every wait in a test. Only a test that hangs reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Prefix of all state file names of the client proxy `n0`. It stays the same across versions, since a new
+/// version reads the files of the version before.
+pub const STATE_FILE_PREFIX: &str = "martensill-n0";
 
-/// A safe, a keyed and an unsafe class; one zone, one kind, two tenants.
+/// Settings with a safe, a keyed and an unsafe class, one zone, one kind and two tenants.
 pub fn settings() -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "aim": 1000.0, "hardLimit": 4000.0, "semantics": semantics, "keyScope": "all",
@@ -55,8 +56,8 @@
 pub struct Proxy {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where it answers operators, if the configuration says so.
-    pub operators: Option<SocketAddr>,
+    /// Address of the admin interface, if the configuration has one.
+    pub admin_address: Option<SocketAddr>,
 }
 
 impl Drop for Proxy {
@@ -66,32 +67,33 @@
     }
 }
 
-/// Writes the configuration file of this test, in place of an earlier one.
+/// Writes the configuration file of this test and replaces an earlier one.
 pub fn write_config(text: &str) -> PathBuf {
     let dir = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
     let unique = format!("{}-{:?}.json", std::process::id(), std::thread::current().id());
     let path = dir.join(unique);
-    std::fs::write(&path, text).expect("a file of the test's own");
+    std::fs::write(&path, text).expect("could not write the file");
     path
 }
 
-/// Directory for files that a program under test syncs or replaces while its response time is checked: in memory where
-/// the system has such a file system, since one sync on a busy disk takes up to 0.3 s and the program makes several.
+/// Directory for files that a program under test syncs or replaces while its response time is checked. It
+/// is in memory where the system has such a file system, since one sync on a busy disk takes up to 0.3 s
+/// and the program makes several.
 pub fn memory_backed_dir() -> &'static Path {
     let shared_memory = Path::new("/dev/shm");
     if shared_memory.is_dir() { shared_memory } else { Path::new(env!("CARGO_TARGET_TMPDIR")) }
 }
 
-/// Starts the program as the platform does, without waiting for anything.
+/// Starts the program in the way that the platform does and returns at once.
 pub fn spawn(config: &Value) -> Child {
-    spawn_by(Command::new(env!("CARGO_BIN_EXE_client-proxy")), config, |command| command)
+    spawn_command(Command::new(env!("CARGO_BIN_EXE_client-proxy")), config, |command| command)
 }
 
-/// The same by another command, with what `more` adds to its environment.
-pub fn spawn_by(
+/// Like [`spawn`], with another command; `configure` adds to its environment.
+pub fn spawn_command(
     mut command: Command,
     config: &Value,
-    more: impl FnOnce(&mut Command) -> &mut Command,
+    configure: impl FnOnce(&mut Command) -> &mut Command,
 ) -> Child {
     let path = write_config(&config.to_string());
     command
@@ -102,13 +104,14 @@
         .env_remove("GW_ADMIN_ADDR")
         .env_remove("GW_INHERITED_FD")
         .env_remove("GW_FLEET")
-        // What one test leaves there is nothing to another.
+        // The program must not find state files of another test.
         .env_remove("TMPDIR")
         .stderr(Stdio::piped());
-    more(&mut command).spawn().expect("the program starts")
+    configure(&mut command).spawn().expect("could not start the program")
 }
 
-/// What the platform holds for a client proxy over its upgrades: the clients' listening socket and a folder.
+/// What the platform keeps across upgrades of a client proxy: the listening socket for clients and the
+/// state folder.
 pub struct Platform {
     pub listener: TcpListener,
     pub dir: PathBuf,
@@ -116,16 +119,16 @@
 
 impl Platform {
     pub fn new() -> Platform {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let port = listener.local_addr().expect("bound").port();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+        let port = listener.local_addr().expect("no local address").port();
         let dir = memory_backed_dir().join(format!("client-proxy-test-{}-{port}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("a folder");
+        std::fs::create_dir_all(&dir).expect("could not create the directory");
         Platform { listener, dir }
     }
 
     pub fn start(&self, config: &Value) -> Proxy {
-        let passed = self.listener.try_clone().expect("a second handle");
-        Proxy::listening(spawn_with(passed.into(), "4", config, &self.dir))
+        let descriptor = self.listener.try_clone().expect("could not clone the socket");
+        Proxy::wait_until_listening(spawn_with_listener(descriptor.into(), "4", config, &self.dir))
     }
 }
 
@@ -135,87 +138,103 @@
     }
 }
 
-/// Starts the program with `passed` as its descriptor 4 and told to take over descriptor `named`.
-pub fn spawn_with(passed: std::os::fd::OwnedFd, named: &str, config: &Value, dir: &std::path::Path) -> Child {
-    spawn_passing(passed, named, config, |command| command.env("TMPDIR", dir))
+/// Starts the program with `descriptor` as its descriptor 4, and with `inherited_fd` as the number of the
+/// listening socket that it inherits.
+pub fn spawn_with_listener(
+    descriptor: std::os::fd::OwnedFd,
+    inherited_fd: &str,
+    config: &Value,
+    dir: &std::path::Path,
+) -> Child {
+    spawn_passing_descriptor(descriptor, inherited_fd, config, |command| command.env("TMPDIR", dir))
 }
 
-/// The same with what `more` adds to its environment instead of a folder.
-pub fn spawn_passing(
-    passed: std::os::fd::OwnedFd,
-    named: &str,
+/// Like [`spawn_with_listener`], with what `configure` adds to the environment instead of a state folder.
+pub fn spawn_passing_descriptor(
+    descriptor: std::os::fd::OwnedFd,
+    inherited_fd: &str,
     config: &Value,
-    more: impl FnOnce(&mut Command) -> &mut Command,
+    configure: impl FnOnce(&mut Command) -> &mut Command,
 ) -> Child {
     let mut shell = Command::new("sh");
     shell.args(["-c", "exec 4<&0 0</dev/null; exec \"$0\"", env!("CARGO_BIN_EXE_client-proxy")]);
-    spawn_by(shell, config, |command| more(command.stdin(Stdio::from(passed)).env("GW_INHERITED_FD", named)))
+    spawn_command(shell, config, |command| {
+        configure(command.stdin(Stdio::from(descriptor)).env("GW_INHERITED_FD", inherited_fd))
+    })
 }
 
 impl Proxy {
-    /// Starts and waits for the line that says where it listens.
+    /// Starts the program and waits for the log line with its listening address.
     pub fn start(config: &Value) -> Proxy {
-        Proxy::listening(spawn(config))
+        Proxy::wait_until_listening(spawn(config))
     }
 
-    /// The same with a second configuration file.
-    pub fn start_with_parts(config: &Value, parts: &str) -> Proxy {
+    /// Like [`Proxy::start`], with a fleet configuration file.
+    pub fn start_with_fleet_config(config: &Value, fleet_toml: &str) -> Proxy {
         let dir = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
         let unique = format!("{}-{:?}.toml", std::process::id(), std::thread::current().id());
-        std::fs::write(dir.join(&unique), parts).expect("a file of the test's own");
+        std::fs::write(dir.join(&unique), fleet_toml).expect("could not write the file");
         let program = Command::new(env!("CARGO_BIN_EXE_client-proxy"));
-        Proxy::listening(spawn_by(program, config, |command| command.env("GW_FLEET", dir.join(&unique))))
+        Proxy::wait_until_listening(spawn_command(program, config, |command| {
+            command.env("GW_FLEET", dir.join(&unique))
+        }))
     }
 
-    fn listening(mut child: Child) -> Proxy {
-        let mut log = BufReader::new(child.stderr.take().expect("piped"));
+    fn wait_until_listening(mut child: Child) -> Proxy {
+        let mut log = BufReader::new(child.stderr.take().expect("stderr is not piped"));
         let mut line = String::new();
-        let mut operators = None;
+        let mut admin_address = None;
         let address = loop {
             line.clear();
-            assert!(log.read_line(&mut line).expect("a log") > 0, "ended before it listened");
+            assert!(
+                log.read_line(&mut line).expect("could not read the log") > 0,
+                "the program ended before it listened"
+            );
             if let Some((_, address)) = line.trim_end().split_once("answers operators on ") {
-                operators = Some(address.parse().expect("an address"));
+                admin_address = Some(address.parse().expect("invalid address"));
             }
             if let Some((_, address)) = line.trim_end().split_once("listens on ") {
-                break address.parse().expect("an address");
+                break address.parse().expect("invalid address");
             }
         };
-        // Goes on reading, so that the program never waits for its log to be read.
+        // Keeps reading, so that the program never blocks on a full stderr pipe.
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::stderr()));
-        Proxy { child, address, operators }
+        Proxy { child, address, admin_address }
     }
 
-    /// One call to the operators' address and all that comes back.
-    pub fn call(&self, line: &str) -> String {
-        let mut stream = self.operator();
-        stream.write_all(format!("{line}\n").as_bytes()).expect("written");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer and a close");
-        answer
+    /// Sends one command to the admin address and returns the complete reply.
+    pub fn admin_command(&self, command: &str) -> String {
+        let mut stream = self.admin_connection();
+        stream.write_all(format!("{command}\n").as_bytes()).expect("could not write");
+        let mut reply = String::new();
+        stream.read_to_string(&mut reply).expect("no reply and close");
+        reply
     }
 
-    /// The figures at this moment.
-    pub fn figures(&self) -> Value {
-        let answer = self.call("INFO");
-        let (figures, end) = answer.split_once('\n').expect("two lines");
+    /// The current metrics, as the INFO command reports them.
+    pub fn metrics(&self) -> Value {
+        let reply = self.admin_command("INFO");
+        let (metrics, end) = reply.split_once('\n').expect("fewer than two lines");
         assert_eq!(end, ".\n");
-        serde_json::from_str(figures).expect("JSON")
+        serde_json::from_str(metrics).expect("invalid JSON")
     }
 
-    pub fn operator(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.operators.expect("an address for operators")).expect("accepted");
-        stream.set_read_timeout(Some(HANG)).expect("a time limit");
+    pub fn admin_connection(&self) -> TcpStream {
+        let stream = TcpStream::connect(self.admin_address.expect("no admin address configured"))
+            .expect("could not connect");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("could not set the read timeout");
         stream
     }
 
-    /// A client proxy that knows these upstreams.
+    /// Starts a client proxy and waits until it has received a list of these upstreams.
     pub fn with_upstreams(upstreams: &[&Upstream]) -> (Proxy, DiscoveryServer) {
-        let entries =
-            upstreams.iter().enumerate().map(|(i, h)| endpoint(&format!("h{i}"), h.address, "SERVING"));
+        let entries = upstreams
+            .iter()
+            .enumerate()
+            .map(|(i, upstream)| endpoint(&format!("h{i}"), upstream.address, "SERVING"));
         let discovery_server = DiscoveryServer::start(Value::Array(entries.collect()));
         let proxy = Proxy::start(&config(discovery_server.address, settings()));
-        discovery_server.wait_until_known();
+        discovery_server.wait_until_list_received();
         (proxy, discovery_server)
     }
 
@@ -229,6 +248,6 @@
 
     pub fn signal(&self, name: &str) {
         let killed = Command::new("kill").args([name, &self.child.id().to_string()]).status();
-        assert!(killed.expect("kill runs").success());
+        assert!(killed.expect("could not run kill").success());
     }
 }
--- a/client-proxy/tests/discovery.rs
+++ b/client-proxy/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams: drains, moves, removals, bad entries, and a discovery that goes away.
+//! The endpoint list: drains, address changes, removals, invalid entries, and a discovery that fails.
 
 mod common;
 
@@ -8,67 +8,68 @@
 use serde_json::{Value, json};
 
 fn upstream(name: &'static str) -> Upstream {
-    Upstream::start(move |_| Act::Say(answer("200 OK", "", name)))
+    Upstream::start(move |_| Reply::Send(http_response("200 OK", "", name)))
 }
 
-/// Asks until the answer comes from `name` ten times in a row; hangs, and so fails, where it never does.
-fn only(client: &mut Client, name: &str) {
+/// Asserts that the next ten responses all come from `name`.
+fn assert_served_by(client: &mut Client, name: &str) {
     for _ in 0..10 {
-        let body = client.ask(&look(3000)).body;
+        let body = client.round_trip(&look_request(3000)).body;
         assert_eq!(String::from_utf8_lossy(&body), name);
     }
 }
 
-/// Guards against new work for an upstream that drains, was deleted or is absent from a whole list.
+/// An upstream that is draining, deleted or absent from a full snapshot must get no new request.
 #[test]
-fn an_upstream_that_is_on_its_way_out_gets_nothing_new() {
-    for way in ["DRAINING", "DELETED", "absent"] {
-        let (stays, goes) = (upstream("stays"), upstream("goes"));
-        let (proxy, discovery_server) = Proxy::with_upstreams(&[&stays, &goes]);
+fn draining_upstream_gets_no_new_request() {
+    for case in ["DRAINING", "DELETED", "absent"] {
+        let (remaining, leaving) = (upstream("remaining"), upstream("leaving"));
+        let (proxy, discovery_server) = Proxy::with_upstreams(&[&remaining, &leaving]);
         let mut client = proxy.client();
-        while client.ask(&look(3000)).body != b"goes" {}
-        match way {
-            "absent" => discovery_server.tell(json!([endpoint("h0", stays.address, "SERVING")]), true),
-            // What is gone needs no address.
-            "DELETED" => discovery_server.tell(json!([{"name": "h1", "status": "DELETED"}]), false),
-            _ => discovery_server.tell(json!([endpoint("h1", goes.address, way)]), false),
+        while client.round_trip(&look_request(3000)).body != b"leaving" {}
+        match case {
+            "absent" => discovery_server.publish(json!([endpoint("h0", remaining.address, "SERVING")]), true),
+            // A removed endpoint needs no address.
+            "DELETED" => discovery_server.publish(json!([{"name": "h1", "status": "DELETED"}]), false),
+            _ => discovery_server.publish(json!([endpoint("h1", leaving.address, case)]), false),
         }
-        discovery_server.wait_until_known();
-        only(&mut client, "stays");
-        // Its connections are of no more use, so they go as well.
-        goes.closed();
+        discovery_server.wait_until_list_received();
+        assert_served_by(&mut client, "remaining");
+        // Its idle connections are closed as well.
+        leaving.wait_for_close();
     }
 }
 
-/// Guards against a first byte after the grace: the word of the drain comes while a dial is under way.
+/// The client proxy is notified of a drain while a dial to that upstream is pending. A request written to
+/// the connection later would arrive after the grace time of the drain.
 #[test]
-fn a_dial_that_outlasts_the_word_of_a_drain_is_not_written_on() {
+fn pending_dial_to_draining_upstream_is_unused() {
     let here = upstream("here");
-    let full = Full::start();
-    let (discovery_server, _proxy, mut client) = full.dialled(true);
-    discovery_server.tell(
+    let full = FullBacklog::start();
+    let (discovery_server, _proxy, mut client) = full.proxy_dialing(true);
+    discovery_server.publish(
         json!([endpoint("full", full.address, "DRAINING"), endpoint("here", here.address, "SERVING")]),
         false,
     );
-    discovery_server.wait_until_known();
-    assert_eq!(full.let_in(), b"", "closed with nothing on it");
-    assert_eq!(client.read().expect("an answer").body, b"here");
+    discovery_server.wait_until_list_received();
+    assert_eq!(full.accept_pending_dial(), b"", "no request is written to the pending dial");
+    assert_eq!(client.read().expect("no response").body, b"here");
 }
 
 #[test]
-fn an_upstream_that_moves_is_found_at_its_new_address() {
+fn changed_endpoint_address_is_used() {
     let (old, new) = (upstream("old"), upstream("new"));
     let (proxy, discovery_server) = Proxy::with_upstreams(&[&old]);
     let mut client = proxy.client();
-    only(&mut client, "old");
-    discovery_server.tell(json!([endpoint("h0", new.address, "SERVING")]), false);
-    discovery_server.wait_until_known();
-    only(&mut client, "new");
+    assert_served_by(&mut client, "old");
+    discovery_server.publish(json!([endpoint("h0", new.address, "SERVING")]), false);
+    discovery_server.wait_until_list_received();
+    assert_served_by(&mut client, "new");
 }
 
-/// Guards against one bad entry that takes the good ones with it.
+/// One invalid entry must not cause the valid ones to be dropped.
 #[test]
-fn bad_entries_are_left_out() {
+fn invalid_entries_are_skipped() {
     let here = upstream("here");
     let mut wrong = endpoint("wrong", here.address, "SERVING");
     wrong["address"] = json!("nowhere");
@@ -80,149 +81,160 @@
         vec![json!(7), json!({}), wrong, odd, heavy, endpoint("here", here.address, "SERVING")];
     let discovery_server = DiscoveryServer::start(Value::Array(entries));
     let proxy = Proxy::start(&config(discovery_server.address, settings()));
-    discovery_server.wait_until_known();
-    only(&mut proxy.client(), "here");
+    discovery_server.wait_until_list_received();
+    assert_served_by(&mut proxy.client(), "here");
 }
 
-/// Guards against an old list trusted for good, and against standing still without discovery: what was known
-/// serves until discovery has been heard.
+/// Without discovery the client proxy serves from the list in its configuration. That list may be old, so
+/// the first one from discovery replaces it, whatever its version.
 #[test]
-fn the_known_list_serves_until_a_newer_one_comes() {
+fn configured_list_is_used_until_discovery_responds() {
     let (old, new) = (upstream("old"), upstream("new"));
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let unresponsive = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
     let list = json!({"index": 900, "snapshot": true, "endpoints": [endpoint("o", old.address, "SERVING")]});
-    let mut alone = config(silent.local_addr().expect("bound"), settings());
-    alone["known"] = list.clone();
-    only(&mut Proxy::start(&alone).client(), "old");
+    let mut without_discovery = config(unresponsive.local_addr().expect("no local address"), settings());
+    without_discovery["known"] = list.clone();
+    assert_served_by(&mut Proxy::start(&without_discovery).client(), "old");
 
     let discovery_server = DiscoveryServer::start(json!([endpoint("n", new.address, "SERVING")]));
-    let mut together = config(discovery_server.address, settings());
-    together["known"] = list;
-    let proxy = Proxy::start(&together);
-    discovery_server.wait_until_known();
-    only(&mut proxy.client(), "new");
+    let mut with_discovery = config(discovery_server.address, settings());
+    with_discovery["known"] = list;
+    let proxy = Proxy::start(&with_discovery);
+    discovery_server.wait_until_list_received();
+    assert_served_by(&mut proxy.client(), "new");
 }
 
-/// Guards against a discovery that breaks off: it is asked again, from the version held.
+/// After a failed poll, discovery is polled again from the current version.
 #[test]
-fn a_broken_watch_is_begun_again() {
+fn failed_watch_resumes_from_current_version() {
     let here = upstream("here");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+    let address = listener.local_addr().expect("no local address");
     let proxy = Proxy::start(&config(address, settings()));
     let list = json!({"index": 41, "snapshot": true, "endpoints": [endpoint("h", here.address, "SERVING")]});
-    // The whole list on the first connection, which then breaks; a 503 on the second; the third is asked on.
-    for (say, expected) in [
-        (answer("200 OK", "", &list.to_string()), "/v1/endpoints "),
-        (answer("503 Service Unavailable", "", ""), "after=41"),
+    // The full snapshot on the first connection, which then breaks; a 503 on the second; on the third the
+    // watch goes on.
+    for (reply, expected) in [
+        (http_response("200 OK", "", &list.to_string()), "/v1/endpoints "),
+        (http_response("503 Service Unavailable", "", ""), "after=41"),
         (String::new(), "after=41"),
     ] {
-        let (mut stream, _) = listener.accept().expect("a call");
-        let mut reader = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
-        let call = read_message(&mut reader).expect("a call");
-        assert!(call.start.contains(expected), "{}", call.start);
-        std::io::Write::write_all(&mut stream, say.as_bytes()).expect("written");
+        let (mut stream, _) = listener.accept().expect("no poll");
+        let mut reader = std::io::BufReader::new(stream.try_clone().expect("could not clone the socket"));
+        let poll = read_message(&mut reader).expect("no poll");
+        assert!(poll.start.contains(expected), "{}", poll.start);
+        std::io::Write::write_all(&mut stream, reply.as_bytes()).expect("could not write");
     }
-    only(&mut proxy.client(), "here");
+    assert_served_by(&mut proxy.client(), "here");
 }
 
-/// Guards against answers that are no good: none of them empties what is known, nor leaves it unquestioned:
-/// the whole list is asked for next.
+/// An invalid response of discovery must not empty the current list. The full snapshot is requested next,
+/// since something was missed.
 #[test]
-fn a_list_that_is_no_good_leaves_the_one_that_is_known() {
+fn invalid_list_keeps_the_current_one() {
     let here = upstream("here");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
     let mut settings = settings();
     settings["discovery"] = json!("subscribe");
-    let mut config = config(listener.local_addr().expect("bound"), settings);
+    let mut config = config(listener.local_addr().expect("no local address"), settings);
     config["known"] =
         json!({"index": 41, "snapshot": true, "endpoints": [endpoint("h", here.address, "SERVING")]});
     let proxy = Proxy::start(&config);
-    let mut asked = "/v1/endpoints?after=41&wait_ms=100";
-    for say in [
-        answer("200 OK", "", r#"{"index": 42, "snapshot": true, "endpoints": [{"nam"#),
-        answer("200 OK", "", r#"{"index": 42, "snapshot": true}"#),
-        answer("200 OK", "", r#"{"index": 42, "snapshot": true, "endpoints": [7, {}, {"name": "h"}]}"#),
+    let mut expected_path = "/v1/endpoints?after=41&wait_ms=100";
+    for reply in [
+        http_response("200 OK", "", r#"{"index": 42, "snapshot": true, "endpoints": [{"nam"#),
+        http_response("200 OK", "", r#"{"index": 42, "snapshot": true}"#),
+        http_response(
+            "200 OK",
+            "",
+            r#"{"index": 42, "snapshot": true, "endpoints": [7, {}, {"name": "h"}]}"#,
+        ),
         "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"index\": 42".to_owned(),
-        answer("503 Service Unavailable", "", ""),
+        http_response("503 Service Unavailable", "", ""),
         String::new(),
     ] {
-        let (mut stream, _) = listener.accept().expect("a call");
-        let mut reader = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
-        let call = read_message(&mut reader).expect("a call");
-        assert_eq!(call.start.split(' ').nth(1), Some(asked), "before {say:?}");
-        asked = "/v1/endpoints";
-        std::io::Write::write_all(&mut stream, say.as_bytes()).expect("written");
+        let (mut stream, _) = listener.accept().expect("no poll");
+        let mut reader = std::io::BufReader::new(stream.try_clone().expect("could not clone the socket"));
+        let poll = read_message(&mut reader).expect("no poll");
+        assert_eq!(poll.start.split(' ').nth(1), Some(expected_path), "before {reply:?}");
+        expected_path = "/v1/endpoints";
+        std::io::Write::write_all(&mut stream, reply.as_bytes()).expect("could not write");
         drop((stream, reader));
-        // A new connection each time: the pauses grow, and one that idles is closed.
-        only(&mut proxy.client(), "here");
+        // A new client connection each time: the backoff between polls grows, and an idle client is
+        // disconnected.
+        assert_served_by(&mut proxy.client(), "here");
     }
 }
 
-/// A discovery that the test plays by hand.
-struct ByHand(TcpListener);
+/// A discovery server whose responses the test writes one by one.
+struct ScriptedDiscovery(TcpListener);
 
-impl ByHand {
-    /// And a client proxy that asks it, which has `stays` and `goes` in version 41 of its list and goes on to
-    /// watch.
-    fn start(mode: &str, stays: &Upstream, goes: &Upstream) -> (ByHand, Proxy, TcpStream) {
-        let hand = ByHand(TcpListener::bind("127.0.0.1:0").expect("a port"));
+impl ScriptedDiscovery {
+    /// Starts it together with a client proxy that has received `remaining` and `leaving` in version 41 of
+    /// the list and watches for the next version.
+    fn start(mode: &str, remaining: &Upstream, leaving: &Upstream) -> (ScriptedDiscovery, Proxy, TcpStream) {
+        let discovery =
+            ScriptedDiscovery(TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port"));
         let mut settings = settings();
         settings["discovery"] = json!(mode);
         settings["contract"]["askWithin"] = json!(10_000.0);
-        let proxy = Proxy::start(&config(hand.0.local_addr().expect("bound"), settings));
-        let (mut stream, call) = hand.connection();
-        assert_eq!(call, "/v1/endpoints");
-        let both =
-            json!([endpoint("stays", stays.address, "SERVING"), endpoint("goes", goes.address, "SERVING")]);
-        say(&mut stream, 41, true, &both);
-        assert!(next_call(&stream).starts_with("/v1/endpoints?after=41&"), "the watch goes on");
-        (hand, proxy, stream)
+        let proxy = Proxy::start(&config(discovery.0.local_addr().expect("no local address"), settings));
+        let (mut stream, poll) = discovery.connection();
+        assert_eq!(poll, "/v1/endpoints");
+        let both = json!([
+            endpoint("remaining", remaining.address, "SERVING"),
+            endpoint("leaving", leaving.address, "SERVING")
+        ]);
+        send_list(&mut stream, 41, true, &both);
+        assert!(next_poll(&stream).starts_with("/v1/endpoints?after=41&"), "the watch goes on");
+        (discovery, proxy, stream)
     }
 
-    /// The next connection, and the call on it.
+    /// The next connection, and the poll on it.
     fn connection(&self) -> (TcpStream, String) {
-        let (stream, _) = self.0.accept().expect("a connection");
-        stream.set_read_timeout(Some(HANG)).expect("a time limit");
-        let call = next_call(&stream);
-        (stream, call)
+        let (stream, _) = self.0.accept().expect("accept failed");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("could not set the read timeout");
+        let poll = next_poll(&stream);
+        (stream, poll)
     }
 
-    /// Hangs, and so fails, where no new connection comes in time: as long as a watch used to wait.
-    fn connection_in_time(&self) -> (TcpStream, String) {
+    /// Like [`ScriptedDiscovery::connection`], but fails if no connection comes within the time that a
+    /// watch may wait.
+    fn connection_within_timeout(&self) -> (TcpStream, String) {
         let socket = socket2::SockRef::from(&self.0);
-        socket.set_read_timeout(Some(HANG)).expect("a time limit for accepting");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("could not set the accept timeout");
         self.connection()
     }
 }
 
-fn next_call(stream: &TcpStream) -> String {
-    let mut reader = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
-    let call = read_message(&mut reader).expect("a call");
-    call.start.split(' ').nth(1).expect("a path").to_owned()
+fn next_poll(stream: &TcpStream) -> String {
+    let mut reader = std::io::BufReader::new(stream.try_clone().expect("could not clone the socket"));
+    let poll = read_message(&mut reader).expect("no poll");
+    poll.start.split(' ').nth(1).expect("missing path").to_owned()
 }
 
-fn say(stream: &mut TcpStream, index: u64, snapshot: bool, endpoints: &Value) {
+fn send_list(stream: &mut TcpStream, index: u64, snapshot: bool, endpoints: &Value) {
     let list = json!({"index": index, "snapshot": snapshot, "endpoints": endpoints});
-    write(stream, &answer("200 OK", "", &list.to_string()));
+    write(stream, &http_response("200 OK", "", &list.to_string()));
 }
 
 fn write(stream: &mut TcpStream, text: &str) {
-    std::io::Write::write_all(stream, text.as_bytes()).expect("written");
+    std::io::Write::write_all(stream, text.as_bytes()).expect("could not write");
 }
 
-/// Guards against a list that is quietly old: a watch that falls silent, trickles an answer without end or
-/// breaks off is given up for a call that brings what was missed, also while its connection stays open.
+/// The list would silently become stale if the client proxy waited for a watch that stalls, trickles an
+/// endless response or breaks off. It has to poll for the missed changes, even while the old connection
+/// stays open.
 #[test]
-fn a_watch_that_says_nothing_more_is_not_waited_for() {
+fn stalled_watch_is_replaced_by_poll() {
     for mode in ["automatic", "subscribe"] {
-        for way in ["silent", "trickle", "reset", "half"] {
-            let (stays, goes) = (upstream("stays"), upstream("goes"));
-            let (hand, proxy, mut watch) = ByHand::start(mode, &stays, &goes);
+        for case in ["silent", "trickle", "reset", "half"] {
+            let (remaining, leaving) = (upstream("remaining"), upstream("leaving"));
+            let (discovery, proxy, mut watch) = ScriptedDiscovery::start(mode, &remaining, &leaving);
             let mut client = proxy.client();
-            while client.ask(&look(3000)).body != b"goes" {}
-            let drained = json!([endpoint("goes", goes.address, "DRAINING")]);
-            let _open = match way {
+            while client.round_trip(&look_request(3000)).body != b"leaving" {}
+            let drained = json!([endpoint("leaving", leaving.address, "DRAINING")]);
+            let _open = match case {
                 "silent" => Some(watch),
                 "reset" => {
                     drop(watch);
@@ -233,85 +245,93 @@
                     Some(watch)
                 }
                 _ => {
-                    let mut trickled = watch.try_clone().expect("a second handle");
+                    let mut trickling = watch.try_clone().expect("could not clone the socket");
                     std::thread::spawn(move || {
-                        write(&mut trickled, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                        while std::io::Write::write_all(&mut trickled, b"1\r\n \r\n").is_ok() {
+                        write(&mut trickling, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                        while std::io::Write::write_all(&mut trickling, b"1\r\n \r\n").is_ok() {
                             std::thread::sleep(std::time::Duration::from_millis(20));
                         }
                     });
                     Some(watch)
                 }
             };
-            let (mut stream, call) = hand.connection_in_time();
-            // Where calls queue, this one begins the next watch too.
+            let (mut stream, poll) = discovery.connection_within_timeout();
+            // In mode `subscribe` this poll is the next watch as well.
             let wait = if mode == "subscribe" { 100 } else { 0 };
-            assert_eq!(call, format!("/v1/endpoints?after=41&wait_ms={wait}"), "{mode}, {way}");
-            say(&mut stream, 42, false, &drained);
-            assert!(next_call(&stream).contains("after=42&"), "{mode}, {way}");
-            // The one before has been idle for too long.
-            only(&mut proxy.client(), "stays");
+            assert_eq!(poll, format!("/v1/endpoints?after=41&wait_ms={wait}"), "{mode}, {case}");
+            send_list(&mut stream, 42, false, &drained);
+            assert!(next_poll(&stream).contains("after=42&"), "{mode}, {case}");
+            // The connection used before has been idle for too long.
+            assert_served_by(&mut proxy.client(), "remaining");
         }
     }
 }
 
-/// Guards against an answer that takes a drain back: an older version, and one whose changes cannot all be
-/// read, are not taken; the whole list is asked for at once, and what it says holds.
+/// A response that is older, or has changes that cannot be parsed, could undo a drain. It is not applied;
+/// the full snapshot is requested at once and replaces the list.
 #[test]
-fn a_doubtful_answer_is_followed_by_the_whole_list() {
+fn inconsistent_list_triggers_full_snapshot() {
     for mode in ["automatic", "subscribe"] {
-        for way in ["older", "unreadable", "again"] {
-            let (stays, goes) = (upstream("stays"), upstream("goes"));
-            let (_hand, proxy, mut watch) = ByHand::start(mode, &stays, &goes);
-            let serving =
-                [endpoint("stays", stays.address, "SERVING"), endpoint("goes", goes.address, "SERVING")];
-            let drained = [serving[0].clone(), endpoint("goes", goes.address, "DRAINING")];
+        for case in ["older", "unreadable", "again"] {
+            let (remaining, leaving) = (upstream("remaining"), upstream("leaving"));
+            let (_discovery, proxy, mut watch) = ScriptedDiscovery::start(mode, &remaining, &leaving);
+            let serving = [
+                endpoint("remaining", remaining.address, "SERVING"),
+                endpoint("leaving", leaving.address, "SERVING"),
+            ];
+            let drained = [serving[0].clone(), endpoint("leaving", leaving.address, "DRAINING")];
             let mut wrong = drained[1].clone();
             wrong["weight"] = json!("heavy");
-            match way {
+            match case {
                 "older" => {
-                    say(&mut watch, 42, false, &json!([drained[1]]));
-                    assert!(next_call(&watch).contains("after=42&"), "{mode}, {way}");
-                    say(&mut watch, 41, true, &json!(serving));
+                    send_list(&mut watch, 42, false, &json!([drained[1]]));
+                    assert!(next_poll(&watch).contains("after=42&"), "{mode}, {case}");
+                    send_list(&mut watch, 41, true, &json!(serving));
                 }
-                "unreadable" => say(&mut watch, 42, false, &json!([wrong])),
-                _ => say(&mut watch, 41, false, &json!([serving[1]])),
+                "unreadable" => send_list(&mut watch, 42, false, &json!([wrong])),
+                _ => send_list(&mut watch, 41, false, &json!([serving[1]])),
             }
-            assert_eq!(next_call(&watch), "/v1/endpoints", "{mode}, {way}");
-            only_not(&proxy, "goes", way == "older");
-            say(&mut watch, 43, true, &json!(drained));
-            assert!(next_call(&watch).contains("after=43&"), "{mode}, {way}");
-            only(&mut proxy.client(), "stays");
+            assert_eq!(next_poll(&watch), "/v1/endpoints", "{mode}, {case}");
+            assert_not_served_by(&proxy, "leaving", case == "older");
+            send_list(&mut watch, 43, true, &json!(drained));
+            assert!(next_poll(&watch).contains("after=43&"), "{mode}, {case}");
+            assert_served_by(&mut proxy.client(), "remaining");
         }
     }
 }
 
-/// Where `holds`, none of some answers comes from `name`.
-fn only_not(proxy: &Proxy, name: &str, holds: bool) {
+/// Asserts, if `is_checked`, that none of ten responses comes from `name`.
+fn assert_not_served_by(proxy: &Proxy, name: &str, is_checked: bool) {
     let mut client = proxy.client();
-    for _ in 0..(if holds { 10 } else { 0 }) {
-        assert_ne!(client.ask(&look(3000)).body, name.as_bytes());
+    for _ in 0..(if is_checked { 10 } else { 0 }) {
+        assert_ne!(client.round_trip(&look_request(3000)).body, name.as_bytes());
     }
 }
 
-/// Guards against a drain that goes unheard because its entry says no address: what is not sent to needs
-/// none.
+/// An entry for a draining endpoint may have no valid address. Nothing is sent to it, so the drain has to
+/// be applied all the same.
 #[test]
-fn a_drain_needs_no_address() {
+fn drain_without_valid_address_is_applied() {
     for mode in ["automatic", "subscribe"] {
-        let (stays, goes) = (upstream("stays"), upstream("goes"));
-        let (_hand, proxy, mut watch) = ByHand::start(mode, &stays, &goes);
+        let (remaining, leaving) = (upstream("remaining"), upstream("leaving"));
+        let (_discovery, proxy, mut watch) = ScriptedDiscovery::start(mode, &remaining, &leaving);
         let mut client = proxy.client();
-        while client.ask(&look(3000)).body != b"goes" {}
-        say(&mut watch, 42, false, &json!([{"name": "goes", "status": "DRAINING", "address": "nowhere"}]));
-        assert!(next_call(&watch).contains("after=42&"), "{mode}");
-        only(&mut client, "stays");
+        while client.round_trip(&look_request(3000)).body != b"leaving" {}
+        send_list(
+            &mut watch,
+            42,
+            false,
+            &json!([{"name": "leaving", "status": "DRAINING", "address": "nowhere"}]),
+        );
+        assert!(next_poll(&watch).contains("after=42&"), "{mode}");
+        assert_served_by(&mut client, "remaining");
     }
 }
 
-/// Guards against a call that the settings do not want: where discovery is asked, the decisions say when.
+/// In mode `subscribe` the load-balancing core decides when discovery is polled, so there must be no poll
+/// of the process itself.
 #[test]
-fn a_list_that_is_asked_for_is_watched_from_the_known_version() {
+fn subscribe_mode_polls_from_the_configured_version() {
     let here = upstream("here");
     let discovery_server = DiscoveryServer::start(json!([endpoint("h", here.address, "SERVING")]));
     let mut settings = settings();
@@ -320,17 +340,17 @@
     let mut config = config(discovery_server.address, settings);
     config["known"] = json!({"index": 0, "snapshot": true, "endpoints": []});
     let proxy = Proxy::start(&config);
-    // What was missed is asked for at once, then the watch goes on.
-    assert_eq!(discovery_server.call(), "/v1/endpoints?after=0&wait_ms=100");
-    assert_eq!(discovery_server.call(), "/v1/endpoints?after=1&wait_ms=1500");
-    discovery_server.wait_until_known();
-    only(&mut proxy.client(), "here");
+    // Missed changes are polled for at once, then the watch goes on.
+    assert_eq!(discovery_server.next_poll(), "/v1/endpoints?after=0&wait_ms=100");
+    assert_eq!(discovery_server.next_poll(), "/v1/endpoints?after=1&wait_ms=1500");
+    discovery_server.wait_until_list_received();
+    assert_served_by(&mut proxy.client(), "here");
 }
 
-/// Guards against a program that a reload ends, or that goes on waiting where discovery no longer is; a file
-/// that is no good changes nothing.
+/// A reload must neither end the program nor leave it waiting for the discovery that was replaced. An
+/// invalid file changes nothing.
 #[test]
-fn a_reload_moves_on_to_the_new_discovery() {
+fn reload_switches_to_the_new_discovery() {
     for mode in ["automatic", "subscribe"] {
         let (old, new) = (upstream("old"), upstream("new"));
         let before = DiscoveryServer::start(json!([endpoint("h0", old.address, "SERVING")]));
@@ -339,22 +359,22 @@
         let mut config = config(before.address, settings);
         config["known"] = json!({"index": 0, "snapshot": true, "endpoints": []});
         let proxy = Proxy::start(&config);
-        before.wait_until_known();
+        before.wait_until_list_received();
         let mut client = proxy.client();
-        only(&mut client, "old");
+        assert_served_by(&mut client, "old");
 
-        write_config("{ no good");
+        write_config("{ invalid");
         proxy.signal("-HUP");
-        only(&mut client, "old");
+        assert_served_by(&mut client, "old");
 
         let after = DiscoveryServer::start(json!([]));
-        after.tell(json!([endpoint("h0", new.address, "SERVING")]), true);
+        after.publish(json!([endpoint("h0", new.address, "SERVING")]), true);
         config["discovery"] = json!(after.address.to_string());
         write_config(&config.to_string());
         proxy.signal("-HUP");
-        // Asked on from the version held, so nothing told in between is missed.
-        assert!(after.call().contains("after=1&"));
-        after.wait_until_known();
-        only(&mut client, "new");
+        // The poll continues from the current version, so no change in between is missed.
+        assert!(after.next_poll().contains("after=1&"));
+        after.wait_until_list_received();
+        assert_served_by(&mut client, "new");
     }
 }
--- a/client-proxy/tests/idle_connections.rs
+++ b/client-proxy/tests/idle_connections.rs
@@ -1,4 +1,5 @@
-//! Idle connections that endpoints have closed, reset or forgotten by the time that they are used again.
+//! Idle upstream connections that endpoints have closed, reset or lost the state of by the time that they
+//! are used again.
 
 mod common;
 
@@ -13,58 +14,60 @@
 use socket2::SockRef;
 
 const KEY: &str = "Idempotency-Key: 5c0f\r\n";
-/// Idle connections over all endpoints.
-const IDLE: usize = 6;
-/// How long they are idle at least before they are used again.
-const RESTED: Duration = Duration::from_millis(300);
+/// Number of idle connections over all endpoints.
+const IDLE_CONNECTIONS: usize = 6;
+/// How long the connections are idle at least before they are used again.
+const IDLE_TIME: Duration = Duration::from_millis(300);
 
-/// What becomes of a connection that has carried one request.
+/// What happens to a connection that has carried one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    /// Its endpoint closes it on a word of the test.
+enum ConnectionEnd {
+    /// The endpoint closes it when the test says so.
     Closed,
-    /// Its endpoint resets it on a word of the test.
+    /// The endpoint resets it when the test says so.
     Reset,
-    /// Its endpoint knows nothing of it: it resets it on the first byte that comes.
-    Forgotten,
-    /// The way is cut: nothing that is sent arrives, and nothing comes back.
-    Cut,
+    /// The endpoint has lost its state: it resets the connection at the first byte that arrives.
+    StateLost,
+    /// The network path is broken: nothing that is sent arrives, and nothing comes back.
+    PathBroken,
 }
 
-/// Endpoints whose first [`IDLE`] connections carry one request each, all in flight together; later ones are
-/// sound.
+/// Endpoints whose first [`IDLE_CONNECTIONS`] connections carry one request each, all of them in flight
+/// together. Later connections work as usual.
 struct Pool {
     addresses: Vec<SocketAddr>,
-    fate: Fate,
+    end: ConnectionEnd,
     opened: AtomicUsize,
-    /// Held up until that many requests are in flight.
-    together: Barrier,
-    /// With the one handle of each connection.
+    /// Delays responses until all [`IDLE_CONNECTIONS`] requests are in flight.
+    in_flight_together: Barrier,
+    /// The only handle of each idle connection.
     idle: Mutex<Vec<TcpStream>>,
-    /// The `X-Txn` of each whole request.
-    runs: Mutex<Vec<String>>,
+    /// The `X-Txn` of each complete request.
+    requests: Mutex<Vec<String>>,
 }
 
-/// Guards against a process that another test starts: for a moment it holds copies of all descriptors.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serializes these tests: a process that another test starts holds copies of all descriptors until it has
+/// executed, and a connection is closed only with its last copy.
+static SERIAL: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+fn serialize() -> MutexGuard<'static, ()> {
+    SERIAL.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 impl Pool {
-    fn start(endpoints: usize, fate: Fate) -> Arc<Pool> {
-        let listeners: Vec<TcpListener> =
-            (0..endpoints).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
-        let addresses = listeners.iter().map(|l| l.local_addr().expect("bound")).collect();
-        let (together, opened) = (Barrier::new(IDLE), AtomicUsize::new(0));
-        let (idle, runs) = Default::default();
-        let pool = Arc::new(Pool { addresses, fate, opened, together, idle, runs });
+    fn start(endpoints: usize, end: ConnectionEnd) -> Arc<Pool> {
+        let listeners: Vec<TcpListener> = (0..endpoints)
+            .map(|_| TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port"))
+            .collect();
+        let addresses = listeners.iter().map(|l| l.local_addr().expect("no local address")).collect();
+        let (in_flight_together, opened) = (Barrier::new(IDLE_CONNECTIONS), AtomicUsize::new(0));
+        let (idle, requests) = Default::default();
+        let pool = Arc::new(Pool { addresses, end, opened, in_flight_together, idle, requests });
         for listener in listeners {
             let pool = Arc::clone(&pool);
             std::thread::spawn(move || {
                 for stream in listener.incoming() {
-                    let (pool, stream) = (Arc::clone(&pool), stream.expect("a connection"));
+                    let (pool, stream) = (Arc::clone(&pool), stream.expect("accept failed"));
                     std::thread::spawn(move || pool.serve(stream));
                 }
             });
@@ -73,32 +76,35 @@
     }
 
     fn serve(&self, stream: TcpStream) {
-        let is_sound = self.opened.fetch_add(1, Ordering::SeqCst) >= IDLE;
+        let is_later = self.opened.fetch_add(1, Ordering::SeqCst) >= IDLE_CONNECTIONS;
         let mut reader = BufReader::new(stream);
         while let Some(request) = read_message(&mut reader) {
-            self.runs.lock().expect("no panic").push(request.header("X-Txn").expect("an id").to_owned());
-            if !is_sound {
-                self.together.wait();
+            self.requests
+                .lock()
+                .expect("another thread panicked")
+                .push(request.header("X-Txn").expect("no X-Txn header").to_owned());
+            if !is_later {
+                self.in_flight_together.wait();
             }
-            let _ = reader.get_mut().write_all(answer("200 OK", "", "fine").as_bytes());
-            if !is_sound {
+            let _ = reader.get_mut().write_all(http_response("200 OK", "", "fine").as_bytes());
+            if !is_later {
                 break;
             }
         }
-        if is_sound {
+        if is_later {
             return;
         }
         let stream = reader.into_inner();
-        if self.fate != Fate::Forgotten {
-            self.idle.lock().expect("no panic").push(stream);
+        if self.end != ConnectionEnd::StateLost {
+            self.idle.lock().expect("another thread panicked").push(stream);
             return;
         }
-        // Closing over a second byte that was not read resets the connection at once.
+        // Closing the socket with a byte left unread resets the connection at once.
         let _ = stream.set_linger_zero();
         let _ = (&stream).read(&mut [0]);
     }
 
-    /// A client proxy with [`IDLE`] idle connections to these endpoints.
+    /// Starts a client proxy with [`IDLE_CONNECTIONS`] idle connections to these endpoints.
     fn proxy(&self) -> (Proxy, DiscoveryServer) {
         let entries: Vec<Value> = (0..)
             .zip(&self.addresses)
@@ -106,38 +112,43 @@
             .collect();
         let discovery_server = DiscoveryServer::start(json!(entries));
         let proxy = Proxy::start(&config(discovery_server.address, settings()));
-        discovery_server.wait_until_known();
-        let mut clients: Vec<Client> = (0..IDLE).map(|_| proxy.client()).collect();
-        clients.iter_mut().for_each(|client| client.write(&look(3000)));
+        discovery_server.wait_until_list_received();
+        let mut clients: Vec<Client> = (0..IDLE_CONNECTIONS).map(|_| proxy.client()).collect();
+        clients.iter_mut().for_each(|client| client.write(&look_request(3000)));
         for client in &mut clients {
-            assert_eq!(client.read().expect("an answer").status(), 200);
+            assert_eq!(client.read().expect("no response").status(), 200);
         }
-        // Far shorter than they may be idle, and long enough for an endpoint to forget them.
-        std::thread::sleep(RESTED);
+        // Far shorter than the idle timeout, and long enough for an endpoint to lose its state.
+        std::thread::sleep(IDLE_TIME);
         (proxy, discovery_server)
     }
 
-    /// Ends all idle connections.
-    fn end(&self) {
-        // An answer may be read before its connection is laid aside.
-        while self.idle.lock().expect("no panic").len() < IDLE {
+    /// Closes or resets all idle connections.
+    fn end_idle_connections(&self) {
+        // The client may read a response before its connection has been added to `idle`.
+        while self.idle.lock().expect("another thread panicked").len() < IDLE_CONNECTIONS {
             std::thread::yield_now();
         }
-        for stream in self.idle.lock().expect("no panic").drain(..) {
-            match self.fate {
-                Fate::Reset => stream.set_linger_zero().expect("a socket"),
-                _ => stream.shutdown(Shutdown::Both).expect("closed"),
+        for stream in self.idle.lock().expect("another thread panicked").drain(..) {
+            match self.end {
+                ConnectionEnd::Reset => stream.set_linger_zero().expect("invalid socket"),
+                _ => stream.shutdown(Shutdown::Both).expect("could not close the connection"),
             }
         }
     }
 
-    fn runs_of(&self, id: &str) -> usize {
-        self.runs.lock().expect("no panic").iter().filter(|run| *run == id).count()
+    fn request_count(&self, id: &str) -> usize {
+        self.requests
+            .lock()
+            .expect("another thread panicked")
+            .iter()
+            .filter(|request_id| *request_id == id)
+            .count()
     }
 }
 
 trait LingerZero {
-    /// A close breaks the connection from now on.
+    /// Makes a later close reset the connection.
     fn set_linger_zero(&self) -> std::io::Result<()>;
 }
 
@@ -147,74 +158,75 @@
     }
 }
 
-/// One request of each class, each with an id of its own.
+/// A request of this class, with this id.
 fn request(class: &str, id: &str) -> String {
     let text = match class {
-        "look" => look(3000),
+        "look" => look_request(3000),
         "keep" => post("keep", 3000, KEY, ""),
         _ => post(class, 3000, "", ""),
     };
     text.replace("X-Txn: t1", "X-Txn: t2").replace("X-Txn: t2", &format!("X-Txn: {id}"))
 }
 
-/// Guards against a request that is lost, failed or run twice because idle connections were closed or reset
-/// the moment before: not even one that is not idempotent is written to any of them.
+/// All idle connections are closed or reset just before a request. It must not be lost, fail or run twice.
+/// No request, not even an idempotent one, is written to any of them.
 #[test]
-fn a_request_that_crosses_the_end_of_all_idle_connections_runs_once() {
-    let _alone = alone();
-    for fate in [Fate::Closed, Fate::Reset] {
+fn request_crossing_closed_idle_connections_runs_once() {
+    let _serial = serialize();
+    for end in [ConnectionEnd::Closed, ConnectionEnd::Reset] {
         for class in ["look", "keep", "pay"] {
-            let pool = Pool::start(3, fate);
-            let (proxy, _roster) = pool.proxy();
+            let pool = Pool::start(3, end);
+            let (proxy, _discovery) = pool.proxy();
             let mut client = proxy.client();
-            // The request is there first; all is news to the program when it goes on.
+            // The request is sent before the connections end; the process sees both together when it
+            // continues.
             proxy.signal("-STOP");
             client.write(&request(class, "crossing"));
-            pool.end();
+            pool.end_idle_connections();
             proxy.signal("-CONT");
-            assert_eq!(client.read().expect("an answer").status(), 200, "{fate:?}, {class}");
-            assert_eq!(pool.runs_of("crossing"), 1, "{fate:?}, {class}");
+            assert_eq!(client.read().expect("no response").status(), 200, "{end:?}, {class}");
+            assert_eq!(pool.request_count("crossing"), 1, "{end:?}, {class}");
         }
     }
 }
 
-/// Guards against a request lost to connections that its endpoints no longer know of: what may be repeated
-/// is, and not over another connection that is as old; what may not be is failed once, and leaves no
-/// connection of that kind behind.
+/// The endpoints have lost the state of all idle connections. A request that may be repeated is retried,
+/// but not over another connection as old as the failed one. One that may not be repeated fails once, after
+/// which no idle connection of that age is used.
 #[test]
-fn forgotten_connections_fail_no_request_that_may_be_repeated() {
-    let _alone = alone();
+fn repeatable_request_survives_connections_lost_by_endpoint() {
+    let _serial = serialize();
     for class in ["look", "keep"] {
-        let pool = Pool::start(2, Fate::Forgotten);
-        let (proxy, _roster) = pool.proxy();
+        let pool = Pool::start(2, ConnectionEnd::StateLost);
+        let (proxy, _discovery) = pool.proxy();
         let mut client = proxy.client();
         for n in 0..4 {
             let id = format!("{class}{n}");
-            assert_eq!(client.ask(&request(class, &id)).status(), 200, "{id}");
-            assert_eq!(pool.runs_of(&id), 1, "{id}");
+            assert_eq!(client.round_trip(&request(class, &id)).status(), 200, "{id}");
+            assert_eq!(pool.request_count(&id), 1, "{id}");
         }
     }
-    // All idle connections are to one endpoint, and all are forgotten.
-    let pool = Pool::start(1, Fate::Forgotten);
-    let (proxy, _roster) = pool.proxy();
+    // All idle connections go to one endpoint, which has lost the state of all of them.
+    let pool = Pool::start(1, ConnectionEnd::StateLost);
+    let (proxy, _discovery) = pool.proxy();
     let mut client = proxy.client();
-    assert_eq!(client.ask(&request("pay", "first")).status(), 502, "it may have run");
-    assert_eq!(client.ask(&request("pay", "second")).status(), 200);
-    assert_eq!((pool.runs_of("first"), pool.runs_of("second")), (0, 1));
+    assert_eq!(client.round_trip(&request("pay", "first")).status(), 502, "it may have been run");
+    assert_eq!(client.round_trip(&request("pay", "second")).status(), 200);
+    assert_eq!((pool.request_count("first"), pool.request_count("second")), (0, 1));
 }
 
-/// Guards against requests lost one after the other to connections over which nothing arrives any more: the
-/// first has its answer in its time, and leaves no connection of that kind behind.
+/// Nothing sent over the idle connections arrives any more. The first request fails within its deadline,
+/// and no later request is sent over one of the others.
 #[test]
-fn a_cut_connection_fails_one_request_at_the_most() {
-    let _alone = alone();
+fn broken_path_fails_at_most_one_request() {
+    let _serial = serialize();
     for class in ["look", "keep", "pay"] {
-        let pool = Pool::start(1, Fate::Cut);
-        let (proxy, _roster) = pool.proxy();
+        let pool = Pool::start(1, ConnectionEnd::PathBroken);
+        let (proxy, _discovery) = pool.proxy();
         let mut client = proxy.client();
         let first = request(class, "first").replace("Ms: 3000", "Ms: 300");
-        assert_ne!(client.ask(&first).status(), 200, "{class}");
-        assert_eq!(client.ask(&request(class, "second")).status(), 200, "{class}");
-        assert_eq!((pool.runs_of("first"), pool.runs_of("second")), (0, 1), "{class}");
+        assert_ne!(client.round_trip(&first).status(), 200, "{class}");
+        assert_eq!(client.round_trip(&request(class, "second")).status(), 200, "{class}");
+        assert_eq!((pool.request_count("first"), pool.request_count("second")), (0, 1), "{class}");
     }
 }
--- a/client-proxy/tests/leaving.rs
+++ b/client-proxy/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Clients that leave while their requests wait: nothing more is sent for them, whatever lies unread behind
-//! the request, and one that has only ended what it sends has its answer.
+//! Clients that disconnect while their requests wait: nothing more is sent for them, whatever lies unread
+//! behind the request. A client that has only shut down its sending side still gets its response.
 
 mod common;
 
@@ -12,179 +12,183 @@
 use common::*;
 use serde_json::json;
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Way {
-    /// With nothing behind its request.
+enum Departure {
+    /// It closes, with nothing behind its request.
     Plain,
-    /// Behind the next request, which nobody has read.
+    /// It closes behind its next request, which nobody has read.
     Pipelined,
-    /// The same with more than is read ahead.
+    /// It closes behind more requests than the client proxy reads ahead.
     Flooded,
-    /// A break of the connection behind such bytes.
+    /// It resets the connection behind its next request, which nobody has read.
     Reset,
 }
 
-const WAYS: [Way; 4] = [Way::Plain, Way::Pipelined, Way::Flooded, Way::Reset];
+const DEPARTURES: [Departure; 4] =
+    [Departure::Plain, Departure::Pipelined, Departure::Flooded, Departure::Reset];
 
-/// Writes what comes behind a request that is under way, and leaves.
-fn leave(mut client: Client, way: Way) {
-    match way {
-        Way::Plain => {}
-        Way::Flooded => client.write(&look(3000).repeat(400)),
-        Way::Pipelined | Way::Reset => client.write(&look(3000)),
+/// Writes what follows the request in progress, and disconnects.
+fn leave(mut client: Client, departure: Departure) {
+    match departure {
+        Departure::Plain => {}
+        Departure::Flooded => client.write(&look_request(3000).repeat(400)),
+        Departure::Pipelined | Departure::Reset => client.write(&look_request(3000)),
     }
-    if matches!(way, Way::Reset) {
+    if matches!(departure, Departure::Reset) {
         client.reset();
     } else {
         client.close();
     }
 }
 
-/// Answers after each word on the channel.
-fn gated(say: fn(usize) -> String) -> (Upstream, Sender<()>) {
+/// An upstream that sends one response for each use of the sender.
+fn gated_upstream(response: fn(usize) -> String) -> (Upstream, Sender<()>) {
     let (go, gate) = channel::<()>();
     let gate = Mutex::new(gate);
     let upstream = Upstream::start(move |n| {
-        let _ = gate.lock().expect("no panic").recv();
-        Act::Say(say(n))
+        let _ = gate.lock().expect("another thread panicked").recv();
+        Reply::Send(response(n))
     });
     (upstream, go)
 }
 
 fn fine(_: usize) -> String {
-    answer("200 OK", "", "fine")
+    http_response("200 OK", "", "fine")
 }
 
-/// Guards against a burst sent on for clients that have all left by the time that there is an upstream.
+/// A burst of requests waits for an upstream, and all clients disconnect before one is listed. Sending
+/// their requests then would be work for nobody.
 #[test]
-fn nothing_is_sent_for_clients_that_left_while_they_waited_for_an_upstream() {
-    for way in WAYS {
-        let upstream = Upstream::start(|n| Act::Say(fine(n)));
+fn disconnect_before_first_upstream_prevents_attempt() {
+    for departure in DEPARTURES {
+        let upstream = Upstream::start(|n| Reply::Send(fine(n)));
         let discovery_server = DiscoveryServer::start(json!([]));
         let proxy = Proxy::start(&config(discovery_server.address, settings()));
-        discovery_server.wait_until_known();
+        discovery_server.wait_until_list_received();
         let mut burst: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
-        burst.iter_mut().for_each(|client| client.write(&look(15_000)));
-        // An answer to a later one shows that these have been taken up.
-        wait_until_taken_up(&proxy);
-        burst.into_iter().for_each(|client| leave(client, way));
-        discovery_server.tell(json!([endpoint("h", upstream.address, "SERVING")]), true);
-        discovery_server.wait_until_known();
-        // What waits for an upstream is looked at every tenth of a second.
+        burst.iter_mut().for_each(|client| client.write(&look_request(15_000)));
+        // The response to a later request shows that these have been processed.
+        wait_until_processed(&proxy);
+        burst.into_iter().for_each(|client| leave(client, departure));
+        discovery_server.publish(json!([endpoint("h", upstream.address, "SERVING")]), true);
+        discovery_server.wait_until_list_received();
+        // Requests that wait for an upstream are retried every 100 ms.
         let mut client = proxy.client();
         for _ in 0..15 {
-            assert_eq!(client.ask(&look(3000)).status(), 200);
+            assert_eq!(client.round_trip(&look_request(3000)).status(), 200);
             std::thread::sleep(Duration::from_millis(20));
         }
-        assert_eq!(upstream.requests_so_far(), 15, "{way:?}");
+        assert_eq!(upstream.take_request_count(), 15, "{departure:?}");
     }
 }
 
-/// Guards against an attempt that begins when its dial comes up long after the client left, also where
+/// A dial completes long after its client has disconnected. Nothing may be written on it, even where
 /// attempts are not cancelled.
 #[test]
-fn nothing_is_written_on_a_dial_that_outlasts_its_client() {
+fn disconnect_during_dial_prevents_write() {
     for cancelling in [true, false] {
-        for way in WAYS {
-            let full = Full::start();
-            let (_roster, proxy, client) = full.dialled(cancelling);
-            leave(client, way);
-            // An answer to another request shows that the leaving has come in.
-            wait_until_taken_up(&proxy);
-            // Where attempts are cancelled, the dial of a client that broke off is.
-            if !cancelling || !matches!(way, Way::Reset) {
-                assert_eq!(full.let_in(), b"", "{way:?}, cancelling {cancelling}");
+        for departure in DEPARTURES {
+            let full = FullBacklog::start();
+            let (_discovery, proxy, client) = full.proxy_dialing(cancelling);
+            leave(client, departure);
+            // The response to another request shows that the disconnect has been noticed.
+            wait_until_processed(&proxy);
+            // With cancelling, the dial of a client that reset its connection is aborted.
+            if !cancelling || !matches!(departure, Departure::Reset) {
+                assert_eq!(full.accept_pending_dial(), b"", "{departure:?}, cancelling {cancelling}");
             }
         }
     }
 }
 
-/// Guards against a retry for a client that left during the first one.
+/// A client disconnects during its first attempt. A retry would be work for nobody.
 #[test]
-fn nothing_more_is_sent_for_a_client_that_left_between_two_attempts() {
-    for way in WAYS {
-        let turned_away = |_| answer("503 Service Unavailable", "X-Turned-Away: 1\r\n", "");
-        let ((one, go_one), (two, go_two)) = (gated(turned_away), gated(turned_away));
-        let (proxy, _roster) = Proxy::with_upstreams(&[&one, &two]);
+fn no_retry_after_client_disconnects() {
+    for departure in DEPARTURES {
+        let rejected = |_| http_response("503 Service Unavailable", "X-Turned-Away: 1\r\n", "");
+        let ((one, release_one), (two, release_two)) = (gated_upstream(rejected), gated_upstream(rejected));
+        let (proxy, _discovery) = Proxy::with_upstreams(&[&one, &two]);
         let mut client = proxy.client();
         client.write(&post("pay", 15_000, "", ""));
-        let asked = |upstream: &Upstream| matches!(upstream.seen.try_recv(), Ok(Seen::Request(..)));
-        while !asked(&one) && !asked(&two) {
+        let has_request = |upstream: &Upstream| matches!(upstream.events.try_recv(), Ok(Event::Request(..)));
+        while !has_request(&one) && !has_request(&two) {
             std::thread::yield_now();
         }
-        leave(client, way);
-        wait_until_taken_up(&proxy);
-        for go in [&go_one, &go_two] {
+        leave(client, departure);
+        wait_until_processed(&proxy);
+        for go in [&release_one, &release_two] {
             for _ in 0..4 {
-                go.send(()).expect("the host waits");
+                go.send(()).expect("the upstream thread has ended");
             }
         }
-        // Its answer, or that the attempt was cancelled, has been taken in when another request has been.
-        assert_eq!(proxy.client().ask(&post("pay", 15_000, "", "")).status(), 503);
-        let others = [&one, &two].map(common::Upstream::requests_so_far);
-        // Those of the other request, which is rejected by both upstreams, three attempts at the most.
-        assert!(others[0] + others[1] <= 3, "{way:?}: {others:?}");
+        // Once another request has been answered, the response to the first, or its cancellation, has been
+        // processed.
+        assert_eq!(proxy.client().round_trip(&post("pay", 15_000, "", "")).status(), 503);
+        let others = [&one, &two].map(common::Upstream::take_request_count);
+        // These are the attempts of the other request, which both upstreams reject: three at most.
+        assert!(others[0] + others[1] <= 3, "{departure:?}: {others:?}");
     }
 }
 
-/// Guards against an answer withheld from a client that has ended what it sends and waits for its answer.
+/// A client that shuts down its sending side and waits for its response has not disconnected.
 #[test]
-fn a_client_that_ends_what_it_sends_has_its_answer() {
-    let (upstream, go) = gated(fine);
-    let (proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
+fn half_closed_client_gets_its_response() {
+    let (upstream, go) = gated_upstream(fine);
+    let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
     for behind in ["", "GET /look/8 HT"] {
         let mut client = proxy.client();
-        client.write(&look(15_000));
-        upstream.request();
+        client.write(&look_request(15_000));
+        upstream.next_request();
         client.write(behind);
         client.stream.shutdown(Shutdown::Write).expect("open");
-        wait_until_taken_up(&proxy);
-        go.send(()).expect("the host waits");
-        assert_eq!(client.read().expect("an answer").body, b"fine", "{behind:?}");
-        assert!(client.ends(), "{behind:?}");
+        wait_until_processed(&proxy);
+        go.send(()).expect("the upstream thread has ended");
+        assert_eq!(client.read().expect("no response").body, b"fine", "{behind:?}");
+        assert!(client.read_until_closed(), "{behind:?}");
     }
 }
 
-/// Guards against an attempt for a client that ended what it sends while it waited, and against leaving it
-/// without an answer, or with one that comes only when its time is up.
+/// A client shuts down its sending side while its request waits for an endpoint. There must be no attempt
+/// for it any more, and it must get a response before its deadline is over.
 #[test]
-fn a_client_that_ends_what_it_sends_while_it_waits_is_refused() {
-    let upstream = Upstream::start(|n| Act::Say(fine(n)));
+fn half_closed_client_without_endpoint_is_rejected() {
+    let upstream = Upstream::start(|n| Reply::Send(fine(n)));
     let discovery_server = DiscoveryServer::start(json!([]));
     let proxy = Proxy::start(&config(discovery_server.address, settings()));
-    discovery_server.wait_until_known();
+    discovery_server.wait_until_list_received();
     let mut client = proxy.client();
-    client.write(&look(600_000));
-    wait_until_taken_up(&proxy);
+    client.write(&look_request(600_000));
+    wait_until_processed(&proxy);
     client.stream.shutdown(Shutdown::Write).expect("open");
-    assert_eq!(client.read().expect("an answer").status(), 503);
-    // With the request itself it comes to the same.
+    assert_eq!(client.read().expect("no response").status(), 503);
+    // The same result if the end comes together with the request.
     let mut client = proxy.client();
-    client.write(&look(600_000));
+    client.write(&look_request(600_000));
     client.stream.shutdown(Shutdown::Write).expect("open");
-    discovery_server.tell(json!([endpoint("h", upstream.address, "SERVING")]), true);
-    discovery_server.wait_until_known();
-    let status = client.read().expect("an answer").status();
+    discovery_server.publish(json!([endpoint("h", upstream.address, "SERVING")]), true);
+    discovery_server.wait_until_list_received();
+    let status = client.read().expect("no response").status();
     assert!(matches!(status, 200 | 503), "{status}");
 }
 
-/// Prevents an attempt for a client that left in the middle of a body which goes on as it comes, by the time
-/// that there is an endpoint.
+/// A client disconnects in the middle of a streamed body, before any endpoint is listed. No attempt may
+/// begin for it once there is one.
 #[test]
-fn nothing_is_sent_for_a_client_that_left_in_the_middle_of_its_body() {
+fn disconnect_in_partial_body_prevents_attempt() {
     for reset in [false, true] {
-        // One that tells of the first bytes on each connection, whole requests or not.
-        let (tell, told) = channel();
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
+        // An endpoint that reports the first four bytes on each connection, whether or not a complete
+        // request follows.
+        let (sender, received) = channel();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+        let address = listener.local_addr().expect("no local address");
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let (mut stream, tell) = (stream.expect("a connection"), tell.clone());
+                let (mut stream, sender) = (stream.expect("accept failed"), sender.clone());
                 std::thread::spawn(move || {
                     let mut bytes = [0; 4];
                     while stream.read_exact(&mut bytes).is_ok() {
-                        let _ = tell.send(bytes);
+                        let _ = sender.send(bytes);
                         if &bytes != b"GET " {
                             return;
                         }
@@ -192,145 +196,151 @@
                         while !head.ends_with(b"\r\n\r\n") {
                             head.resize(head.len() + 1, 0);
                             let last = head.len() - 1;
-                            stream.read_exact(&mut head[last..]).expect("a head");
+                            stream.read_exact(&mut head[last..]).expect("no message head");
                         }
-                        stream.write_all(fine(0).as_bytes()).expect("written");
+                        stream.write_all(fine(0).as_bytes()).expect("could not write");
                     }
                 });
             }
         });
         let discovery_server = DiscoveryServer::start(json!([]));
         let proxy = Proxy::start(&config(discovery_server.address, settings()));
-        discovery_server.wait_until_known();
+        discovery_server.wait_until_list_received();
         let mut client = proxy.client();
         let body = "x".repeat(400_000);
         let request = post("pay", 15_000, "", &body);
-        // More than the client proxy reads before there is an endpoint, and than it reads ahead; a close
-        // behind more than the system buffers would not even be sent.
+        // More than the client proxy reads before there is an endpoint, and than it reads ahead. If more
+        // than the system buffers were unsent, the close would not even be transmitted.
         client.write(&request[..100_000]);
-        wait_until_taken_up(&proxy);
-        leave(client, if reset { Way::Reset } else { Way::Plain });
-        wait_until_taken_up(&proxy);
-        discovery_server.tell(json!([endpoint("h", address, "SERVING")]), true);
-        discovery_server.wait_until_known();
+        wait_until_processed(&proxy);
+        leave(client, if reset { Departure::Reset } else { Departure::Plain });
+        wait_until_processed(&proxy);
+        discovery_server.publish(json!([endpoint("h", address, "SERVING")]), true);
+        discovery_server.wait_until_list_received();
         let mut client = proxy.client();
         for _ in 0..15 {
-            assert_eq!(client.ask(&look(3000)).status(), 200);
+            assert_eq!(client.round_trip(&look_request(3000)).status(), 200);
             std::thread::sleep(Duration::from_millis(20));
         }
-        assert!(told.try_iter().all(|bytes| &bytes == b"GET "), "reset {reset}");
+        assert!(received.try_iter().all(|bytes| &bytes == b"GET "), "reset {reset}");
     }
 }
 
-/// Prevents an attempt for a client that sent its request and left while the process was held up.
+/// A client sends its request and disconnects while the process is stopped, so that the process notices
+/// both at once. There must be no attempt for it.
 #[test]
-fn nothing_is_sent_for_a_client_that_came_and_left_while_the_process_was_held_up() {
-    for way in WAYS {
-        let upstream = Upstream::start(|n| Act::Say(fine(n)));
-        let (proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
+fn disconnect_while_process_stopped_prevents_attempt() {
+    for departure in DEPARTURES {
+        let upstream = Upstream::start(|n| Reply::Send(fine(n)));
+        let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
         let mut client = proxy.client();
-        assert_eq!(client.ask(&look(3000)).status(), 200);
+        assert_eq!(client.round_trip(&look_request(3000)).status(), 200);
         proxy.signal("-STOP");
-        client.write(&look(15_000));
-        leave(client, way);
+        client.write(&look_request(15_000));
+        leave(client, departure);
         proxy.signal("-CONT");
-        assert_eq!(proxy.client().ask(&look(15_000)).status(), 200);
-        assert_eq!(upstream.requests_so_far(), 2, "{way:?}");
+        assert_eq!(proxy.client().round_trip(&look_request(15_000)).status(), 200);
+        assert_eq!(upstream.take_request_count(), 2, "{departure:?}");
     }
 }
 
-/// A client proxy with little of `limit`, and an endpoint of its own.
-fn with_little(limit: &str, value: u64, address: std::net::SocketAddr) -> (Proxy, DiscoveryServer) {
+/// A client proxy with this value of `limit`, and one endpoint.
+fn with_limit(limit: &str, value: u64, address: std::net::SocketAddr) -> (Proxy, DiscoveryServer) {
     let discovery_server = DiscoveryServer::start(json!([endpoint("h", address, "SERVING")]));
     let mut config = config(discovery_server.address, settings());
     config["limits"][limit] = json!(value);
     let proxy = Proxy::start(&config);
-    discovery_server.wait_until_known();
+    discovery_server.wait_until_list_received();
     (proxy, discovery_server)
 }
 
-/// Prevents an attempt for a client that left while its request waited for room for its body.
+/// A client disconnects while its request waits for buffer memory for its body. There must be no attempt
+/// for it.
 #[test]
-fn nothing_is_sent_for_a_client_that_left_while_it_waited_for_memory() {
-    for way in WAYS {
-        let upstream = Upstream::start(|n| Act::Say(fine(n)));
-        let (proxy, _roster) = with_little("memory_mb", 1, upstream.address);
-        // A wait that the client proxy gave up, since it was held up for long, shows nothing.
+fn disconnect_during_memory_wait_prevents_attempt() {
+    for departure in DEPARTURES {
+        let upstream = Upstream::start(|n| Reply::Send(fine(n)));
+        let (proxy, _discovery) = with_limit("memory_mb", 1, upstream.address);
+        // If the client proxy, delayed by a busy machine, gave up the wait, the round shows nothing and is
+        // repeated.
         let has_waited = (0..20).any(|_| {
             let mut holders: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
-            let whole = post("pay", 15_000, "", &"x".repeat(64 * 1024));
-            holders.iter_mut().for_each(|holder| holder.write(&whole[..1000]));
-            wait_until_taken_up(&proxy);
-            let (mut left, mut stays) = (proxy.client(), proxy.client());
-            left.write(&post("pay", 15_000, "X-Mark: left\r\n", &"x".repeat(2000)));
-            stays.write(&post("pay", 15_000, "", &"x".repeat(2000)));
-            wait_until_taken_up(&proxy);
-            leave(left, way);
-            wait_until_taken_up(&proxy);
+            let request = post("pay", 15_000, "", &"x".repeat(64 * 1024));
+            holders.iter_mut().for_each(|holder| holder.write(&request[..1000]));
+            wait_until_processed(&proxy);
+            let (mut leaving, mut remaining) = (proxy.client(), proxy.client());
+            leaving.write(&post("pay", 15_000, "X-Mark: leaving\r\n", &"x".repeat(2000)));
+            remaining.write(&post("pay", 15_000, "", &"x".repeat(2000)));
+            wait_until_processed(&proxy);
+            leave(leaving, departure);
+            wait_until_processed(&proxy);
             drop(holders);
-            stays.read().expect("an answer").status() == 200
+            remaining.read().expect("no response").status() == 200
         });
         assert!(has_waited);
-        let is_left =
-            |seen: Seen| matches!(seen, Seen::Request(_, message) if message.header("x-mark").is_some());
-        assert!(!upstream.seen.try_iter().any(is_left), "{way:?}");
+        let is_of_leaving =
+            |event: Event| matches!(event, Event::Request(_, message) if message.header("x-mark").is_some());
+        assert!(!upstream.events.try_iter().any(is_of_leaving), "{departure:?}");
     }
 }
 
-/// Prevents an attempt for a client that left while its long body waited for its part of the memory.
+/// The same for a long body, which is streamed and waits for its part of the memory.
 #[test]
-fn nothing_is_sent_for_a_client_that_left_while_its_long_body_waited_for_memory() {
-    const BODY: usize = 100_000;
-    /// More than the client proxy reads before an attempt begins: a part of the rest has been taken.
-    const FAR: usize = 88_000;
-    for way in [Way::Plain, Way::Reset] {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let (tell_head, heads) = channel();
-        let (tell_far, far) = channel();
+fn disconnect_during_memory_wait_prevents_streamed_attempt() {
+    const BODY_BYTES: usize = 100_000;
+    /// More than the client proxy reads before an attempt begins, so that part of the streamed rest has
+    /// been read.
+    const THRESHOLD_BYTES: usize = 88_000;
+    for departure in [Departure::Plain, Departure::Reset] {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+        let address = listener.local_addr().expect("no local address");
+        let (head_sender, heads) = channel();
+        let (threshold_sender, threshold_reached) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let (mut stream, tell_head, tell_far) =
-                    (stream.expect("a connection"), tell_head.clone(), tell_far.clone());
+                let (mut stream, head_sender, threshold_sender) =
+                    (stream.expect("accept failed"), head_sender.clone(), threshold_sender.clone());
                 std::thread::spawn(move || {
-                    let (mut got, mut piece) = (Vec::new(), vec![0; 16 * 1024]);
+                    let (mut received, mut piece) = (Vec::new(), vec![0; 16 * 1024]);
                     while let Ok(read @ 1..) = stream.read(&mut piece) {
-                        let before = got.len();
-                        got.extend_from_slice(&piece[..read]);
+                        let before = received.len();
+                        received.extend_from_slice(&piece[..read]);
                         if before == 0 {
-                            let _ = tell_head.send(String::from_utf8_lossy(&got).to_lowercase());
+                            let _ = head_sender.send(String::from_utf8_lossy(&received).to_lowercase());
                         }
-                        if before < FAR && got.len() >= FAR {
-                            let _ = tell_far.send(());
+                        if before < THRESHOLD_BYTES && received.len() >= THRESHOLD_BYTES {
+                            let _ = threshold_sender.send(());
                         }
-                        if before < BODY && got.len() >= BODY {
+                        if before < BODY_BYTES && received.len() >= BODY_BYTES {
                             let _ = stream.write_all(fine(0).as_bytes());
                         }
                     }
                 });
             }
         });
-        let (proxy, _roster) = with_little("memory_mb", 1, address);
-        let whole = |mark: &str| post("pay", 15_000, mark, &"x".repeat(BODY));
+        let (proxy, _discovery) = with_limit("memory_mb", 1, address);
+        let marked_request = |mark: &str| post("pay", 15_000, mark, &"x".repeat(BODY_BYTES));
         let mut holders: Vec<Client> = (0..5).map(|_| proxy.client()).collect();
         for holder in &mut holders {
-            holder.write(&whole("")[..FAR + 2000]);
-            far.recv_timeout(HANG).expect("the endpoint was sent nothing");
+            holder.write(&marked_request("")[..THRESHOLD_BYTES + 2000]);
+            threshold_reached
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("the endpoint did not receive enough of the body");
         }
-        let (mut left, mut stays) = (proxy.client(), proxy.client());
-        left.write(&whole("X-Mark: left\r\n")[..FAR]);
-        wait_until_taken_up(&proxy);
-        stays.write(&whole("X-Mark: stays\r\n"));
-        wait_until_taken_up(&proxy);
-        assert!(!heads.try_iter().any(|head| head.contains("x-mark")), "nothing waits");
-        if matches!(way, Way::Reset) {
-            left.reset();
+        let (mut leaving, mut remaining) = (proxy.client(), proxy.client());
+        leaving.write(&marked_request("X-Mark: leaving\r\n")[..THRESHOLD_BYTES]);
+        wait_until_processed(&proxy);
+        remaining.write(&marked_request("X-Mark: remaining\r\n"));
+        wait_until_processed(&proxy);
+        assert!(!heads.try_iter().any(|head| head.contains("x-mark")), "the request did not wait for memory");
+        if matches!(departure, Departure::Reset) {
+            leaving.reset();
         } else {
-            left.close();
+            leaving.close();
         }
-        wait_until_taken_up(&proxy);
+        wait_until_processed(&proxy);
         drop(holders);
-        assert_eq!(stays.read().expect("an answer").status(), 200, "{way:?}");
-        assert!(!heads.try_iter().any(|head| head.contains("x-mark: left")), "{way:?}");
+        assert_eq!(remaining.read().expect("no response").status(), 200, "{departure:?}");
+        assert!(!heads.try_iter().any(|head| head.contains("x-mark: leaving")), "{departure:?}");
     }
 }
--- a/client-proxy/tests/lifecycle.rs
+++ b/client-proxy/tests/lifecycle.rs
@@ -9,37 +9,37 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// Guards against lost requests at a planned restart: what was taken is answered, clients that still come are
-/// taken in, and the exit is clean.
+/// A planned restart must lose no request: admitted ones are answered, clients that still connect are
+/// served, and the exit status is 0.
 #[test]
-fn sigterm_answers_what_was_taken_and_exits_with_0() {
-    let (go, gate) = channel::<()>();
+fn sigterm_answers_admitted_requests() {
+    let (release, gate) = channel::<()>();
     let gate = Arc::new(std::sync::Mutex::new(gate));
     let upstream = Upstream::start(move |n| {
         if n == 0 {
-            let _ = gate.lock().expect("no panic").recv();
+            let _ = gate.lock().expect("another thread panicked").recv();
         }
-        Act::Say(answer("200 OK", "", "done"))
+        Reply::Send(http_response("200 OK", "", "done"))
     });
-    let (mut proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
+    let (mut proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
     let mut waiting = proxy.client();
-    waiting.write(&look(3900));
-    upstream.request();
+    waiting.write(&look_request(3900));
+    upstream.next_request();
     proxy.terminate();
-    assert_eq!(proxy.client().ask(&look(3900)).body, b"done");
-    go.send(()).expect("the host waits");
-    assert_eq!(waiting.read().expect("an answer").body, b"done");
-    // The connection is kept until it is idle, then closed.
+    assert_eq!(proxy.client().round_trip(&look_request(3900)).body, b"done");
+    release.send(()).expect("the upstream thread has ended");
+    assert_eq!(waiting.read().expect("no response").body, b"done");
+    // The connection stays open until it is idle and is closed then.
     assert!(waiting.read().is_none());
-    assert!(proxy.child.wait().expect("ends").success());
+    assert!(proxy.child.wait().expect("could not wait for the process").success());
 }
 
-/// Guards against a start that half works: one plain line that names the field, and no listening.
+/// An invalid configuration ends the program with one log line that names the field, before it listens.
 #[test]
-fn a_bad_configuration_ends_the_start() {
-    let good = config("127.0.0.1:9".parse().expect("an address"), settings());
-    type Spoil = fn(&mut Value);
-    let cases: [(&str, Spoil); 10] = [
+fn invalid_configuration_fails_at_start() {
+    let good = config("127.0.0.1:9".parse().expect("invalid address"), settings());
+    type Corrupt = fn(&mut Value);
+    let cases: [(&str, Corrupt); 10] = [
         ("listen", |c| c["listen"] = json!("here")),
         ("admin_addr", |c| c["admin_addr"] = json!("9901")),
         ("discovery", |c| c["discovery"] = Value::Null),
@@ -51,49 +51,54 @@
         ("classes[0].aim", |c| c["settings"]["classes"][0]["aim"] = json!(-1.0)),
         ("settings.classes", |c| c["settings"]["classes"][0]["streamed"] = json!(true)),
     ];
-    for (field, spoil) in cases {
+    for (field, corrupt) in cases {
         let mut bad = good.clone();
-        spoil(&mut bad);
-        let output = spawn(&bad).wait_with_output().expect("ends");
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{field}: {said}");
-        assert!(said.lines().count() == 1 && said.contains(field), "{field}: {said}");
+        corrupt(&mut bad);
+        let output = spawn(&bad).wait_with_output().expect("could not wait for the process");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{field}: {stderr}");
+        assert!(stderr.lines().count() == 1 && stderr.contains(field), "{field}: {stderr}");
     }
-    // An address that another one holds, as in a start beside a process that still runs.
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    // An address that is already in use, as by a process that still runs.
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
     for field in ["GW_LISTEN", "admin_addr"] {
         let mut bad = good.clone();
         let name = if field == "admin_addr" { field } else { "listen" };
-        bad[name] = json!(taken.local_addr().expect("bound").to_string());
-        let output = spawn(&bad).wait_with_output().expect("ends");
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(1), "{field}: {said}");
-        assert!(said.lines().count() == 1 && said.contains(field), "{field}: {said}");
+        bad[name] = json!(listener.local_addr().expect("no local address").to_string());
+        let output = spawn(&bad).wait_with_output().expect("could not wait for the process");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(1), "{field}: {stderr}");
+        assert!(stderr.lines().count() == 1 && stderr.contains(field), "{field}: {stderr}");
     }
     let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_client-proxy"))
         .env_remove("GW_CONFIG")
         .stderr(std::process::Stdio::piped())
         .spawn()
-        .expect("the program starts");
-    let mut said = String::new();
-    child.stderr.take().expect("piped").read_to_string(&mut said).expect("text");
-    assert_eq!(said, "client-proxy: GW_CONFIG is not set\n");
-    assert_eq!(child.wait().expect("ends").code(), Some(2));
+        .expect("could not start the program");
+    let mut stderr = String::new();
+    child
+        .stderr
+        .take()
+        .expect("stderr is not piped")
+        .read_to_string(&mut stderr)
+        .expect("stderr is not UTF-8");
+    assert_eq!(stderr, "client-proxy: GW_CONFIG is not set\n");
+    assert_eq!(child.wait().expect("could not wait for the process").code(), Some(2));
 }
 
-/// Guards against settings of another customer that are made up for: what is needed and absent, or out of
-/// range, is named; what is not known is ignored.
+/// Required settings must not be replaced by defaults: a missing one ends the start with its name. Unknown
+/// settings are ignored.
 #[test]
-fn settings_that_are_needed_have_to_be_there() {
-    let good = config("127.0.0.1:9".parse().expect("an address"), settings());
+fn missing_settings_fail_unknown_are_ignored() {
+    let good = config("127.0.0.1:9".parse().expect("invalid address"), settings());
     let absent = |path: &[&str]| {
         let mut bad = good["settings"].clone();
-        let (last, groups) = path.split_last().expect("a field");
+        let (last, groups) = path.split_last().expect("missing field");
         let group = groups.iter().fold(&mut bad, |value, name| match name.parse::<usize>() {
             Ok(index) => &mut value[index],
             Err(_) => &mut value[*name],
         });
-        group.as_object_mut().expect("a group").remove(*last).expect("it was there");
+        group.as_object_mut().expect("not an object").remove(*last).expect("missing field");
         bad
     };
     for path in [
@@ -109,100 +114,100 @@
         &["balancers"],
         &["me"],
     ] {
-        let bad = config("127.0.0.1:9".parse().expect("an address"), absent(path));
-        let output = spawn(&bad).wait_with_output().expect("ends");
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{path:?}: {said}");
-        let field = path.last().expect("a field");
-        assert!(said.lines().count() == 1 && said.contains(field), "{path:?}: {said}");
+        let bad = config("127.0.0.1:9".parse().expect("invalid address"), absent(path));
+        let output = spawn(&bad).wait_with_output().expect("could not wait for the process");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{path:?}: {stderr}");
+        let field = path.last().expect("missing field");
+        assert!(stderr.lines().count() == 1 && stderr.contains(field), "{path:?}: {stderr}");
     }
-    let upstream = Upstream::start(|_| Act::Say(answer("200 OK", "", "done")));
+    let upstream = Upstream::start(|_| Reply::Send(http_response("200 OK", "", "done")));
     let discovery_server = DiscoveryServer::start(json!([endpoint("h", upstream.address, "SERVING")]));
     let mut settings = settings();
     settings["aFieldOfTomorrow"] = json!({"deep": [1, 2]});
     settings["limits"]["another"] = json!("yes");
     let proxy = Proxy::start(&config(discovery_server.address, settings));
-    discovery_server.wait_until_known();
-    assert_eq!(proxy.client().ask(&look(3000)).body, b"done");
+    discovery_server.wait_until_list_received();
+    assert_eq!(proxy.client().round_trip(&look_request(3000)).body, b"done");
 }
 
-/// Guards against a request lost in the end of the process, wherever it stands then: in the queue of
-/// connections, half sent, on a connection that rests, or with an upstream that says nothing. A second
-/// SIGTERM changes nothing.
+/// At SIGTERM a request may be in the accept queue, half sent, on an idle connection, or at an upstream
+/// that never responds. None may be lost, and a second SIGTERM changes nothing.
 #[test]
-fn sigterm_loses_no_request_wherever_it_stands() {
+fn sigterm_loses_no_request_in_any_state() {
     let upstream =
-        Upstream::start(|n| if n == 0 { Act::Silent } else { Act::Say(answer("200 OK", "", "done")) });
-    let (mut proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
+        Upstream::start(
+            |n| if n == 0 { Reply::Stall } else { Reply::Send(http_response("200 OK", "", "done")) },
+        );
+    let (mut proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
     let mut hung = proxy.client();
     hung.write(&post("pay", 1500, "", ""));
-    upstream.request();
-    let mut resting = proxy.client();
-    assert_eq!(resting.ask(&post("pay", 3000, "", "")).body, b"done");
+    upstream.next_request();
+    let mut idle = proxy.client();
+    assert_eq!(idle.round_trip(&post("pay", 3000, "", "")).body, b"done");
     let (begun, rest) = (post("pay", 3000, "", "ab"), 20);
     let mut half = proxy.client();
     half.write(&begun[..begun.len() - rest]);
-    let mut bodiless = proxy.client();
-    bodiless.write(&begun[..begun.len() - 1]);
+    let mut missing_last_byte = proxy.client();
+    missing_last_byte.write(&begun[..begun.len() - 1]);
     proxy.terminate();
     proxy.terminate();
     let mut queued: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
     queued.iter_mut().for_each(|client| client.write(&post("pay", 3000, "", "")));
     half.write(&begun[begun.len() - rest..]);
-    bodiless.write(&begun[begun.len() - 1..]);
-    resting.write(&post("pay", 3000, "", ""));
+    missing_last_byte.write(&begun[begun.len() - 1..]);
+    idle.write(&post("pay", 3000, "", ""));
     let mut sent = 2;
-    for client in queued.iter_mut().chain([&mut half, &mut bodiless, &mut resting]) {
-        let answered = client.read().expect("an answer");
-        // So many at once may be too many for one upstream: what is refused was not sent.
-        assert!(matches!(answered.status(), 200 | 503), "{}", answered.start);
-        sent += usize::from(answered.status() == 200);
-        assert!(client.read().is_none(), "it is closed when it is idle");
+    for client in queued.iter_mut().chain([&mut half, &mut missing_last_byte, &mut idle]) {
+        let response = client.read().expect("no response");
+        // So many at once may be more than one upstream is given: a rejected request was not forwarded.
+        assert!(matches!(response.status(), 200 | 503), "{}", response.start);
+        sent += usize::from(response.status() == 200);
+        assert!(client.read().is_none(), "the connection was not closed when idle");
     }
-    // What hangs has its end in time, and then the process.
-    assert_eq!(hung.read().expect("an answer").status(), 502);
-    assert!(proxy.child.wait().expect("ends").success());
-    // The one that hangs was counted before.
-    assert_eq!(1 + upstream.requests_so_far(), sent, "each went out once");
+    // The stalled request ends in time, and then the process.
+    assert_eq!(hung.read().expect("no response").status(), 502);
+    assert!(proxy.child.wait().expect("could not wait for the process").success());
+    // The stalled request was counted before.
+    assert_eq!(1 + upstream.take_request_count(), sent, "each request was forwarded once");
 }
 
-/// Guards against a close over half a request: what has begun to come when connections that rest are closed
-/// is read to its end and answered.
+/// A request that has begun to arrive when idle connections are closed is read to its end and answered.
 #[test]
-fn half_a_request_is_waited_for_when_resting_connections_are_closed() {
-    let upstream = Upstream::start(|_| Act::Say(answer("200 OK", "", "done")));
-    let (mut proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
-    let whole = post("pay", 3000, "", "ab");
-    let mut rests = proxy.client();
-    assert_eq!(rests.ask(&whole).body, b"done");
-    // In the first line, in the head, in the body; on a new connection and on one that has been used.
-    let parts = [3, 60, whole.len() - 1].into_iter().flat_map(|part| [(part, false), (part, true)]);
+fn partial_request_is_awaited_at_idle_close() {
+    let upstream = Upstream::start(|_| Reply::Send(http_response("200 OK", "", "done")));
+    let (mut proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
+    let request = post("pay", 3000, "", "ab");
+    let mut idle = proxy.client();
+    assert_eq!(idle.round_trip(&request).body, b"done");
+    // Cut in the request line, in the head and in the body; on a new connection and on a used one.
+    let parts = [3, 60, request.len() - 1].into_iter().flat_map(|part| [(part, false), (part, true)]);
     let mut halves: Vec<(Client, usize)> = parts
         .map(|(part, used)| {
             let mut client = proxy.client();
             if used {
-                assert_eq!(client.ask(&whole).body, b"done");
+                assert_eq!(client.round_trip(&request).body, b"done");
             }
-            client.write(&whole[..part]);
+            client.write(&request[..part]);
             (client, part)
         })
         .collect();
     proxy.terminate();
-    assert!(rests.read().is_none(), "closed: from here on all that rest are");
+    assert!(idle.read().is_none(), "idle connections are not closed yet");
     for (client, part) in &mut halves {
-        client.write(&whole[*part..]);
-        assert_eq!(client.read().expect("an answer").body, b"done", "after {part} bytes");
+        client.write(&request[*part..]);
+        assert_eq!(client.read().expect("no response").body, b"done", "after {part} bytes");
     }
-    assert!(proxy.child.wait().expect("ends").success());
+    assert!(proxy.child.wait().expect("could not wait for the process").success());
 }
 
-/// Guards against a request that is read after the process has shut the connection, and sent on with nobody
-/// to answer: on connections that rest until then, written as they close, each request either has its answer
-/// or never went out.
+/// Clients write requests on idle connections while these are being closed. A request that is read after
+/// the connection has been shut down could be forwarded with nobody to answer. Each request must either be
+/// answered or never be forwarded.
 #[test]
-fn what_comes_in_the_moment_of_the_close_is_answered_or_never_sent() {
-    let upstream = Upstream::start(|_| Act::Say(answer("200 OK", "", "done")));
-    let (mut proxy, _roster) = Proxy::with_upstreams(&[&upstream]);
+fn request_crossing_close_is_answered_or_unsent() {
+    let upstream = Upstream::start(|_| Reply::Send(http_response("200 OK", "", "done")));
+    let (mut proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
     let clients: Vec<Client> = (0..16).map(|_| proxy.client()).collect();
     proxy.terminate();
     let threads: Vec<_> = clients
@@ -211,11 +216,11 @@
             std::thread::spawn(move || {
                 use std::io::Write;
                 let mut answered = 0;
-                // On and on until the connection is closed: the last one crosses the close.
+                // Sends until the connection is closed: the last request crosses the close.
                 while client.stream.write_all(post("pay", 3000, "", "").as_bytes()).is_ok()
                     && let Some(message) = client.read()
                 {
-                    // One that is refused, as in a burst, was not sent.
+                    // A request that is rejected, as in a burst, was not forwarded.
                     assert!(matches!(message.status(), 200 | 503), "{}", message.start);
                     answered += usize::from(message.status() == 200);
                 }
@@ -223,101 +228,109 @@
             })
         })
         .collect();
-    let answered: usize = threads.into_iter().map(|thread| thread.join().expect("no panic")).sum();
-    assert!(proxy.child.wait().expect("ends").success());
-    assert_eq!(upstream.requests_so_far(), answered);
+    let answered: usize =
+        threads.into_iter().map(|thread| thread.join().expect("another thread panicked")).sum();
+    assert!(proxy.child.wait().expect("could not wait for the process").success());
+    assert_eq!(upstream.take_request_count(), answered);
 }
 
 #[test]
-fn sigterm_before_any_list_ends_at_once() {
-    let closed = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+fn sigterm_before_first_list_exits_at_once() {
+    let closed = std::net::TcpListener::bind("127.0.0.1:0")
+        .expect("could not bind a loopback port")
+        .local_addr()
+        .expect("no local address");
     let mut proxy = Proxy::start(&config(closed, settings()));
     let mut client = proxy.client();
-    client.write(&look(600));
+    client.write(&look_request(600));
     proxy.terminate();
-    assert_eq!(client.read().expect("an answer").status(), 503);
-    assert!(proxy.child.wait().expect("ends").success());
+    assert_eq!(client.read().expect("no response").status(), 503);
+    assert!(proxy.child.wait().expect("could not wait for the process").success());
 }
 
-/// Guards against a process that idle clients keep from its list: they may fill the descriptors while
-/// discovery is down. Discovery, operators and `/ready` are answered all the same, and service is back when
-/// discovery is.
+/// Idle clients may fill all descriptors for clients while discovery is down. Discovery, operators and
+/// `/ready` must still be served, and requests too once discovery is back.
 #[test]
-fn idle_clients_that_fill_the_descriptors_keep_nothing_from_working() {
-    let upstream = Upstream::start(|_| Act::Say(answer("200 OK", "", "done")));
-    let place = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let mut config = config(place, settings());
+fn idle_clients_filling_descriptors_block_nothing_else() {
+    let upstream = Upstream::start(|_| Reply::Send(http_response("200 OK", "", "done")));
+    let discovery_address = std::net::TcpListener::bind("127.0.0.1:0")
+        .expect("could not bind a loopback port")
+        .local_addr()
+        .expect("no local address");
+    let mut config = config(discovery_address, settings());
     config["limits"]["sockets"] = json!(64);
     config["admin_addr"] = json!("127.0.0.1:0");
     let proxy = Proxy::start(&config);
-    // As many as the system takes in and as wait behind them, and each comes again when it is let go.
+    // As many as are accepted and as wait in the queue; each reconnects when it is disconnected.
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let idle: Vec<_> = (0..45)
         .map(|_| {
             let (stop, address) = (Arc::clone(&stop), proxy.address);
             std::thread::spawn(move || {
                 while !stop.load(std::sync::atomic::Ordering::Relaxed) {
-                    Client::new(address).ends();
+                    Client::new(address).read_until_closed();
                 }
             })
         })
         .collect();
-    assert!(proxy.call("PING").starts_with("-ERR"), "not ready, and it says so");
-    assert_eq!(proxy.client().ask(READY).status(), 503);
+    assert!(proxy.admin_command("PING").starts_with("-ERR"), "the program reported ready without a list");
+    assert_eq!(proxy.client().round_trip(READY_REQUEST).status(), 503);
     let discovery_server =
-        DiscoveryServer::start_at(place, json!([endpoint("h", upstream.address, "SERVING")]));
-    discovery_server.wait_until_known();
-    assert!(proxy.call("PING").starts_with("+OK"));
-    assert_eq!(proxy.client().ask(&look(10_000)).body, b"done");
+        DiscoveryServer::start_at(discovery_address, json!([endpoint("h", upstream.address, "SERVING")]));
+    discovery_server.wait_until_list_received();
+    assert!(proxy.admin_command("PING").starts_with("+OK"));
+    assert_eq!(proxy.client().round_trip(&look_request(10_000)).body, b"done");
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
-    idle.into_iter().for_each(|thread| thread.join().expect("no panic"));
+    idle.into_iter().for_each(|thread| thread.join().expect("another thread panicked"));
 }
 
-/// Guards against more descriptors than the process may hold: with clients, endpoints and operators as
-/// many as get in, all that it holds besides, standard streams, listeners, runtime, signals and discovery's,
-/// is within the limit too.
+/// The limit on descriptors counts all of them: beside as many clients, endpoints and operators as are
+/// admitted also the standard streams, listeners, the runtime, signals and discovery.
 #[test]
-fn all_descriptors_together_stay_within_the_limit() {
+fn open_descriptors_stay_within_the_limit() {
     const LIMIT: usize = 64;
-    let upstream = Upstream::start(|_| Act::Silent);
+    let upstream = Upstream::start(|_| Reply::Stall);
     let discovery_server = DiscoveryServer::start(json!([endpoint("h", upstream.address, "SERVING")]));
     let mut config = config(discovery_server.address, settings());
     config["limits"]["sockets"] = json!(LIMIT);
     config["admin_addr"] = json!("127.0.0.1:0");
     let proxy = Proxy::start(&config);
-    discovery_server.wait_until_known();
-    let held = || std::fs::read_dir(format!("/proc/{}/fd", proxy.child.id())).expect("it runs").count();
+    discovery_server.wait_until_list_received();
+    let open_descriptors = || {
+        std::fs::read_dir(format!("/proc/{}/fd", proxy.child.id())).expect("the process has ended").count()
+    };
     let mut busy: Vec<Client> = (0..6).map(|_| proxy.client()).collect();
     for client in &mut busy {
         client.write(&post("pay", 15_000, "", ""));
-        upstream.request();
+        upstream.next_request();
     }
     let _idle: Vec<Client> = (0..60).map(|_| proxy.client()).collect();
-    let _operators: Vec<_> = (0..15).map(|_| proxy.operator()).collect();
-    // Answers show that all have been taken in that get in.
+    let _operators: Vec<_> = (0..15).map(|_| proxy.admin_connection()).collect();
+    // The replies show that all connections have been accepted that are admitted.
     for _ in 0..3 {
-        assert!(proxy.call("PING").starts_with("+OK"));
+        assert!(proxy.admin_command("PING").starts_with("+OK"));
     }
-    assert!(held() <= LIMIT, "{} descriptors", held());
+    assert!(open_descriptors() <= LIMIT, "{} descriptors", open_descriptors());
 }
 
-/// Guards against a process that is killed and started anew at the same address, which the remains of the
-/// connections of the one before would hold for a minute.
+/// After a kill, connections of the old process stay in TIME_WAIT for a minute. They must not keep a new
+/// process from listening on the same address.
 #[test]
-fn a_killed_process_leaves_its_address_to_the_next() {
-    let upstream = Upstream::start(|_| Act::Say(answer("200 OK", "", "done")));
+fn killed_process_does_not_block_its_address() {
+    let upstream = Upstream::start(|_| Reply::Send(http_response("200 OK", "", "done")));
     let discovery_server = DiscoveryServer::start(json!([endpoint("h", upstream.address, "SERVING")]));
     let mut config = config(discovery_server.address, settings());
     let mut proxy = Proxy::start(&config);
-    discovery_server.wait_until_known();
+    discovery_server.wait_until_list_received();
     let mut client = proxy.client();
-    assert_eq!(client.ask(&look(3000)).body, b"done");
+    assert_eq!(client.round_trip(&look_request(3000)).body, b"done");
     config["listen"] = json!(proxy.address.to_string());
-    proxy.child.kill().expect("it runs");
-    proxy.child.wait().expect("ends");
-    // The side that was closed first keeps the remains; the client's end of it is what they wait for.
-    assert!(client.ends());
+    proxy.child.kill().expect("the process has ended");
+    proxy.child.wait().expect("could not wait for the process");
+    // The side that closes first keeps the connection in TIME_WAIT, and it gets there only once the client
+    // has closed too.
+    assert!(client.read_until_closed());
     drop(client);
     let proxy = Proxy::start(&config);
-    assert_eq!(proxy.client().ask(&look(3000)).body, b"done");
+    assert_eq!(proxy.client().round_trip(&look_request(3000)).body, b"done");
 }
