--- a/client-proxy/tests/reload.rs
+++ b/client-proxy/tests/reload.rs
@@ -1,5 +1,5 @@
-//! New configurations in quick succession: the last good one holds, and no call stays behind at an old
-//! address.
+//! Reloads in quick succession: the last valid configuration takes effect, and no poll stays open at an
+//! earlier discovery address.
 
 mod common;
 
@@ -13,263 +13,275 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// An agent whose list is known and that then holds every watch for as long as the client proxy keeps it
-/// open.
-struct Holding(TcpListener);
+/// A discovery server that publishes one list and then holds every watch for as long as the client proxy
+/// keeps it open.
+struct WatchHoldingServer(TcpListener);
 
-impl Holding {
-    fn start() -> Holding {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        socket2::SockRef::from(&listener).set_read_timeout(Some(HANG)).expect("a time limit");
-        Holding(listener)
+impl WatchHoldingServer {
+    fn start() -> WatchHoldingServer {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+        socket2::SockRef::from(&listener)
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("could not set the read timeout");
+        WatchHoldingServer(listener)
     }
 
     fn address(&self) -> SocketAddr {
-        self.0.local_addr().expect("bound")
+        self.0.local_addr().expect("no local address")
     }
 
-    /// The next connection over which a call comes, and its path. One that is given up at once is no call:
-    /// the same address has been named again.
-    fn call(&self) -> (TcpStream, String) {
+    /// The next connection with a poll, and the path of the poll. Connections that are closed before any
+    /// poll do not count: the client proxy opens one when the same address is configured again.
+    fn next_poll(&self) -> (TcpStream, String) {
         loop {
-            let (stream, _) = self.0.accept().expect("a call");
-            stream.set_read_timeout(Some(HANG)).expect("a time limit");
-            if let Some(path) = path(&stream) {
+            let (stream, _) = self.0.accept().expect("no poll");
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("could not set the read timeout");
+            if let Some(path) = read_poll_path(&stream) {
                 return (stream, path);
             }
         }
     }
 
-    /// Answers a call with this list until the watch goes on from it; the path of the call.
-    fn answer(&self, index: u64, list: &Value) -> (TcpStream, String) {
+    /// Responds to polls with this list until the client proxy watches for the version after it; returns
+    /// the watch and the path of the poll.
+    fn respond_until_watched(&self, index: u64, list: &Value) -> (TcpStream, String) {
         let next = format!("/v1/endpoints?after={index}&");
         loop {
-            let (mut stream, call) = self.call();
-            say(&mut stream, index, list);
-            if path(&stream).is_some_and(|path| path.starts_with(&next)) {
-                return (stream, call);
+            let (mut stream, poll) = self.next_poll();
+            send_list(&mut stream, index, list);
+            if read_poll_path(&stream).is_some_and(|path| path.starts_with(&next)) {
+                return (stream, poll);
             }
         }
     }
 }
 
-fn path(stream: &TcpStream) -> Option<String> {
-    let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
+fn read_poll_path(stream: &TcpStream) -> Option<String> {
+    let mut reader = BufReader::new(stream.try_clone().expect("could not clone the socket"));
     Some(read_message(&mut reader)?.start.split(' ').nth(1)?.to_owned())
 }
 
-fn say(stream: &mut TcpStream, index: u64, endpoints: &Value) {
+fn send_list(stream: &mut TcpStream, index: u64, endpoints: &Value) {
     let list = json!({"index": index, "snapshot": true, "endpoints": endpoints}).to_string();
-    // Where it has been given up, that shows next.
-    let _ = stream.write_all(answer("200 OK", "", &list).as_bytes());
+    // If the client proxy has abandoned the poll, the next read shows it.
+    let _ = stream.write_all(http_response("200 OK", "", &list).as_bytes());
 }
 
-fn serving(name: &'static str) -> (Upstream, Value) {
-    let upstream = Upstream::start(move |_| Act::Say(answer("200 OK", "", name)));
+fn serving_upstream(name: &'static str) -> (Upstream, Value) {
+    let upstream = Upstream::start(move |_| Reply::Send(http_response("200 OK", "", name)));
     let list = json!([endpoint("h0", upstream.address, "SERVING")]);
     (upstream, list)
 }
 
-fn only(client: &mut Client, name: &str) {
+fn assert_served_by(client: &mut Client, name: &str) {
     for _ in 0..10 {
-        let answered = client.ask(&look(3000));
-        assert_eq!(String::from_utf8_lossy(&answered.body), name);
+        let response = client.round_trip(&look_request(3000));
+        assert_eq!(String::from_utf8_lossy(&response.body), name);
     }
 }
 
-/// Guards against a configuration that is skipped or taken out of turn, a file that is read half, and a watch
-/// that goes on at an address where discovery no longer is.
+/// Several reloads come during one watch. No configuration may be skipped or applied out of order, no
+/// half-written file may take effect, and no watch may stay open at an address that is no longer
+/// configured.
 #[test]
-fn the_last_of_several_configurations_holds() {
+fn last_of_several_configurations_takes_effect() {
     for mode in ["automatic", "subscribe"] {
-        let ((_old_upstream, old_list), (_new_upstream, new_list)) = (serving("old"), serving("new"));
-        let old = Holding::start();
-        let between: Vec<Holding> = (0..3).map(|_| Holding::start()).collect();
-        let new = Holding::start();
+        let ((_old_upstream, old_list), (_new_upstream, new_list)) =
+            (serving_upstream("old"), serving_upstream("new"));
+        let old = WatchHoldingServer::start();
+        let between: Vec<WatchHoldingServer> = (0..3).map(|_| WatchHoldingServer::start()).collect();
+        let new = WatchHoldingServer::start();
         let mut settings = settings();
         settings["discovery"] = json!(mode);
         settings["contract"]["askWithin"] = json!(10_000.0);
         let mut config = config(old.address(), settings);
         let proxy = Proxy::start(&config);
-        let (mut watch, first) = old.answer(41, &old_list);
+        let (mut watch, first) = old.respond_until_watched(41, &old_list);
         assert_eq!(first, "/v1/endpoints");
         let mut client = proxy.client();
-        only(&mut client, "old");
+        assert_served_by(&mut client, "old");
 
-        // In the middle of that watch, one after another; between them a file that is half written, and none
+        // During that watch, one reload after another; between them with a half-written file and with none
         // at all.
-        for holding in &between {
-            config["discovery"] = json!(holding.address().to_string());
+        for server in &between {
+            config["discovery"] = json!(server.address().to_string());
             let text = config.to_string();
             write_config(&text);
             proxy.signal("-HUP");
             let file = write_config(&text[..text.len() / 2]);
             proxy.signal("-HUP");
-            std::fs::remove_file(file).expect("it was written");
+            std::fs::remove_file(file).expect("could not remove the file");
             proxy.signal("-HUP");
         }
         config["discovery"] = json!(new.address().to_string());
         write_config(&config.to_string());
         proxy.signal("-HUP");
 
-        // What the new one has beyond the version held is asked for, and holds.
-        let (_watch, call) = new.answer(42, &new_list);
-        // Without waiting for news: what was missed, or in the same call the next watch.
+        // The new discovery is polled for what is newer than the current version, and its list takes
+        // effect.
+        let (_watch, poll) = new.respond_until_watched(42, &new_list);
+        // A poll that does not wait, or in mode `subscribe` the next watch.
         let wait = if mode == "subscribe" { 100 } else { 0 };
-        assert_eq!(call, format!("/v1/endpoints?after=41&wait_ms={wait}"), "{mode}");
-        only(&mut client, "new");
-        // No call remains where discovery was, nor was it in between.
-        assert!(matches!(watch.read(&mut [0]), Ok(0)), "{mode}: a call stays behind");
-        for holding in &between {
-            holding.0.set_nonblocking(true).expect("a socket");
-            while let Ok((mut stream, _)) = holding.0.accept() {
-                stream.set_nonblocking(false).expect("a socket");
-                stream.set_read_timeout(Some(HANG)).expect("a time limit");
-                stream.read_to_end(&mut Vec::new()).expect("closed");
+        assert_eq!(poll, format!("/v1/endpoints?after=41&wait_ms={wait}"), "{mode}");
+        assert_served_by(&mut client, "new");
+        // No poll stays open at the old discovery address, nor at those in between.
+        assert!(matches!(watch.read(&mut [0]), Ok(0)), "{mode}: a poll stays open");
+        for server in &between {
+            server.0.set_nonblocking(true).expect("invalid socket");
+            while let Ok((mut stream, _)) = server.0.accept() {
+                stream.set_nonblocking(false).expect("invalid socket");
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("could not set the read timeout");
+                stream.read_to_end(&mut Vec::new()).expect("could not read to the end");
             }
         }
     }
 }
 
-/// How often a client asks while the list is waited for.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval of client requests while the test waits for the new list.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a discovery is in no state to answer at once.
+/// Why a discovery server does not respond at once.
 #[derive(Clone, Copy, Debug)]
 enum Busy {
-    /// Each answer comes so many milliseconds late.
+    /// Each response is delayed by so many milliseconds.
     Late(u64),
-    /// So many calls are refused.
-    Refusing(usize),
+    /// The first polls are rejected, this many of them.
+    Rejecting(usize),
 }
 
-/// Guards against a configuration that is lost, and a list that is taken from where discovery no longer is:
-/// three new configurations one right behind the other, and the first two discoveries answer when the third
-/// is being asked, which is slow or refuses at first. Its list holds.
+/// Three reloads come one right behind the other. The first two discovery servers respond only while the
+/// third is polled, which is slow or rejects at first. The list of the third must take effect, and those of
+/// the others must not.
 #[test]
-fn late_answers_of_earlier_configurations_hold_nothing_up_and_overwrite_nothing() {
-    let ways = [Busy::Late(1_000), Busy::Late(3_000), Busy::Refusing(5)];
+fn late_lists_of_earlier_discoveries_are_ignored() {
+    let busy_modes = [Busy::Late(1_000), Busy::Late(3_000), Busy::Rejecting(5)];
     std::thread::scope(|scope| {
         for mode in ["automatic", "subscribe"] {
-            for busy in ways {
-                scope.spawn(move || follow_the_last(mode, busy));
+            for busy in busy_modes {
+                scope.spawn(move || assert_last_discovery_is_followed(mode, busy));
             }
         }
     });
 }
 
-/// Answers this call and all later ones, each as late as `busy` says, with version 42 of the list. Tells when
-/// the list is known.
-fn answer_calls(holding: Holding, asked: TcpStream, busy: Busy, list: Value) -> Receiver<()> {
-    let (tell, known) = channel();
-    let calls = Arc::new(AtomicUsize::new(0));
-    let serve = move |mut stream: TcpStream, is_asked: bool| {
-        let (tell, calls, list) = (tell.clone(), Arc::clone(&calls), list.clone());
+/// Responds to this poll and all later ones with version 42 of the list, as `busy` says. The receiver
+/// reports when the list has been received.
+fn serve_late_list(
+    server: WatchHoldingServer,
+    poll_stream: TcpStream,
+    busy: Busy,
+    list: Value,
+) -> Receiver<()> {
+    let (sender, received) = channel();
+    let polls = Arc::new(AtomicUsize::new(0));
+    let serve = move |mut stream: TcpStream, has_read_poll: bool| {
+        let (sender, polls, list) = (sender.clone(), Arc::clone(&polls), list.clone());
         std::thread::spawn(move || {
-            let mut is_called = is_asked || path(&stream).is_some();
-            while is_called {
-                let before = calls.fetch_add(1, Ordering::SeqCst);
+            let mut is_polled = has_read_poll || read_poll_path(&stream).is_some();
+            while is_polled {
+                let before = polls.fetch_add(1, Ordering::SeqCst);
                 match busy {
-                    Busy::Refusing(refused) if before < refused => {
-                        let _ = stream.write_all(answer("503 Service Unavailable", "", "").as_bytes());
+                    Busy::Rejecting(rejected) if before < rejected => {
+                        let _ = stream.write_all(http_response("503 Service Unavailable", "", "").as_bytes());
                     }
-                    Busy::Refusing(_) => say(&mut stream, 42, &list),
-                    Busy::Late(late) => {
-                        std::thread::sleep(Duration::from_millis(late));
-                        say(&mut stream, 42, &list);
+                    Busy::Rejecting(_) => send_list(&mut stream, 42, &list),
+                    Busy::Late(delay_ms) => {
+                        std::thread::sleep(Duration::from_millis(delay_ms));
+                        send_list(&mut stream, 42, &list);
                     }
                 }
-                let next = path(&stream);
+                let next = read_poll_path(&stream);
                 if next.as_ref().is_some_and(|path| path.starts_with("/v1/endpoints?after=42&")) {
-                    let _ = tell.send(());
-                    // The watch is held for as long as it is kept open.
+                    let _ = sender.send(());
+                    // The watch is held for as long as the client proxy keeps it open.
                     let _ = stream.read(&mut [0]);
                     return;
                 }
-                is_called = next.is_some();
+                is_polled = next.is_some();
             }
         });
     };
     std::thread::spawn(move || {
-        serve(asked, true);
-        while let Ok((stream, _)) = holding.0.accept() {
-            stream.set_read_timeout(Some(HANG)).expect("a time limit");
+        serve(poll_stream, true);
+        while let Ok((stream, _)) = server.0.accept() {
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("could not set the read timeout");
             serve(stream, false);
         }
     });
-    known
+    received
 }
 
-fn follow_the_last(mode: &str, busy: Busy) {
-    let (_old, old_list) = serving("old");
-    let (_one, one_list) = serving("one");
-    let (_two, two_list) = serving("two");
-    let (_three, three_list) = serving("three");
-    let (old, three) = (Holding::start(), Holding::start());
-    let earlier = [Holding::start(), Holding::start()];
+fn assert_last_discovery_is_followed(mode: &str, busy: Busy) {
+    let (_old, old_list) = serving_upstream("old");
+    let (_one, one_list) = serving_upstream("one");
+    let (_two, two_list) = serving_upstream("two");
+    let (_three, three_list) = serving_upstream("three");
+    let (old, three) = (WatchHoldingServer::start(), WatchHoldingServer::start());
+    let earlier = [WatchHoldingServer::start(), WatchHoldingServer::start()];
     let mut settings = settings();
     settings["discovery"] = json!(mode);
     settings["contract"]["askWithin"] = json!(10_000.0);
     let mut config = config(old.address(), settings);
     let proxy = Proxy::start(&config);
-    let _watch = old.answer(41, &old_list);
-    only(&mut proxy.client(), "old");
+    let _watch = old.respond_until_watched(41, &old_list);
+    assert_served_by(&mut proxy.client(), "old");
 
-    let mut move_to = |to: &Holding| {
+    let mut reload_with = |to: &WatchHoldingServer| {
         config["discovery"] = json!(to.address().to_string());
         write_config(&config.to_string());
         proxy.signal("-HUP");
-        to.call().0
+        to.next_poll().0
     };
-    let [mut one, mut two] = earlier.each_ref().map(&mut move_to);
-    let asked = move_to(&three);
+    let [mut one, mut two] = earlier.each_ref().map(&mut reload_with);
+    let poll_stream = reload_with(&three);
     let begun = Instant::now();
-    // Newer versions than the last one has, and late.
-    say(&mut one, 900, &one_list);
-    say(&mut two, 901, &two_list);
-    let known = answer_calls(three, asked, busy, three_list);
+    // Late, and with newer versions than the last discovery has.
+    send_list(&mut one, 900, &one_list);
+    send_list(&mut two, 901, &two_list);
+    let received = serve_late_list(three, poll_stream, busy, three_list);
     loop {
-        let body = proxy.client().ask(&look(3000)).body;
+        let body = proxy.client().round_trip(&look_request(3000)).body;
         assert!(body == b"old" || body == b"three", "{mode}, {busy:?}: {}", String::from_utf8_lossy(&body));
-        match known.recv_timeout(LOOK_EVERY) {
+        match received.recv_timeout(REQUEST_INTERVAL) {
             Err(RecvTimeoutError::Timeout) => {
-                assert!(begun.elapsed() < HANG, "{mode}, {busy:?}: not followed");
+                assert!(begun.elapsed() < TEST_TIMEOUT, "{mode}, {busy:?}: the new list was not received");
             }
-            known => break known.expect("calls go on"),
+            received => break received.expect("the discovery server has ended"),
         }
     }
-    only(&mut proxy.client(), "three");
+    assert_served_by(&mut proxy.client(), "three");
     for earlier in [one, two] {
         let read = (&earlier).read(&mut [0]);
         let is_closed = match &read {
             Ok(read) => *read == 0,
             Err(error) => error.kind() == ErrorKind::ConnectionReset,
         };
-        assert!(is_closed, "{mode}, {busy:?}: a call stays behind: {read:?}");
+        assert!(is_closed, "{mode}, {busy:?}: a poll stays open: {read:?}");
     }
-    only(&mut proxy.client(), "three");
+    assert_served_by(&mut proxy.client(), "three");
 }
 
-/// Guards against a good configuration that is lost behind one that is no good.
+/// A reload with an invalid file keeps the current configuration, and a later valid file takes effect.
 #[test]
-fn a_file_that_is_no_good_changes_nothing() {
-    let ((_old_upstream, old_list), (_new_upstream, new_list)) = (serving("old"), serving("new"));
+fn invalid_configuration_file_changes_nothing() {
+    let ((_old_upstream, old_list), (_new_upstream, new_list)) =
+        (serving_upstream("old"), serving_upstream("new"));
     let (old, new) = (DiscoveryServer::start(old_list), DiscoveryServer::start(json!([])));
-    new.tell(new_list, true);
+    new.publish(new_list, true);
     let mut config = config(old.address, settings());
     let proxy = Proxy::start(&config);
-    old.wait_until_known();
+    old.wait_until_list_received();
     let mut client = proxy.client();
     let good = config.to_string();
     for text in ["", "{", "[]", &good[..good.len() / 2], "{\"discovery\": \"nowhere\"}", "{\"discovery\": 7}"]
     {
         write_config(text);
         proxy.signal("-HUP");
-        only(&mut client, "old");
+        assert_served_by(&mut client, "old");
     }
     config["discovery"] = json!(new.address.to_string());
     write_config(&config.to_string());
     proxy.signal("-HUP");
-    new.wait_until_known();
-    only(&mut client, "new");
+    new.wait_until_list_received();
+    assert_served_by(&mut client, "new");
 }
--- a/client-proxy/tests/state_folder.rs
+++ b/client-proxy/tests/state_folder.rs
@@ -1,6 +1,6 @@
-//! A folder that lasts, `$TMPDIR`: its calls fail, hang, or are where the process is killed. What an operator
-//! was told is durable is still owed afterwards, and what an operator was told has failed never comes into
-//! force.
+//! The state folder, `$TMPDIR`: its system calls fail, hang, or are where the process is killed. A change
+//! that an operator was told is durable has to survive, and one that an operator was told has failed must
+//! never take effect.
 
 mod common;
 
@@ -11,22 +11,22 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// Longer than anything waits for the folder.
+/// Longer than the client proxy waits for the folder anywhere.
 const HANG_MS: u64 = 5_000;
 
-/// Two endpoints, discovery, and the folder of a client proxy.
-struct Site {
+/// Two endpoints, a discovery server, and the state folder of a client proxy.
+struct TestSetup {
     upstreams: [Upstream; 2],
     discovery_server: DiscoveryServer,
     platform: Platform,
 }
 
-impl Site {
-    fn new() -> Site {
-        let upstreams =
-            ["one", "two"].map(|name| Upstream::start(move |_| Act::Say(answer("200 OK", "", name))));
+impl TestSetup {
+    fn new() -> TestSetup {
+        let upstreams = ["one", "two"]
+            .map(|name| Upstream::start(move |_| Reply::Send(http_response("200 OK", "", name))));
         let discovery_server = DiscoveryServer::start(entries(&upstreams, "SERVING"));
-        Site { upstreams, discovery_server, platform: Platform::new() }
+        TestSetup { upstreams, discovery_server, platform: Platform::new() }
     }
 
     fn config(&self) -> Value {
@@ -35,35 +35,35 @@
         config
     }
 
-    /// A client proxy on a socket of its own, so that nothing but operators' calls touches the folder.
+    /// A client proxy on a socket of its own, so that only operator commands access the folder.
     fn start(&self, faults: &Faults) -> Proxy {
         faults.start_with(&self.config(), |command| command.env("TMPDIR", &self.platform.dir))
     }
 
-    /// One that another may take over from.
+    /// A client proxy on the listening socket of the platform, which a new process may take over.
     fn start_shared(&self, faults: &Faults) -> Proxy {
         let mut config = self.config();
-        config["listen"] = json!(self.platform.listener.local_addr().expect("bound").to_string());
+        config["listen"] = json!(self.platform.listener.local_addr().expect("no local address").to_string());
         faults.start_on(&self.platform, &config)
     }
 
     fn folder(&self) -> String {
-        self.platform.dir.to_str().expect("UTF-8").to_owned()
+        self.platform.dir.to_str().expect("path is not UTF-8").to_owned()
     }
 
     fn file(&self) -> PathBuf {
-        self.platform.dir.join(format!("{STORED}.json"))
+        self.platform.dir.join(format!("{STATE_FILE_PREFIX}.json"))
     }
 
     fn on_disk(&self) -> Value {
         let text = std::fs::read_to_string(self.file()).unwrap_or_else(|_| "{}".to_owned());
-        serde_json::from_str(&text).expect("JSON")
+        serde_json::from_str(&text).expect("invalid JSON")
     }
 
-    /// What is disabled by an operator, for the next process.
-    fn out_on_disk(&self) -> Vec<String> {
-        let out = self.on_disk()["out"].clone();
-        serde_json::from_value(out).unwrap_or_default()
+    /// The endpoints that the state file lists as disabled by an operator.
+    fn disabled_on_disk(&self) -> Vec<String> {
+        let names = self.on_disk()["out"].clone();
+        serde_json::from_value(names).unwrap_or_default()
     }
 }
 
@@ -73,300 +73,313 @@
 }
 
 fn wait_until_ready(proxy: &Proxy) {
-    while proxy.call("PING") != "+OK ready\n" {}
+    while proxy.admin_command("PING") != "+OK ready\n" {}
 }
 
-/// A call that is accepted in the end: a busy disk may take too long for it.
-fn accepted(proxy: &Proxy, call: &str) {
-    wait_until(call, || proxy.call(call).starts_with("+OK "));
+/// Repeats a command until it is accepted: on a busy disk a write may time out.
+fn run_until_accepted(proxy: &Proxy, command: &str) {
+    wait_until(command, || proxy.admin_command(command).starts_with("+OK "));
 }
 
-/// Waits for a condition; it is looked at often.
-fn wait_until(what: &str, condition: impl Fn() -> bool) {
+/// Waits until `condition` holds, checking it every few milliseconds.
+fn wait_until(condition_name: &str, condition: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < HANG, "never: {what}");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "timed out waiting: {condition_name}");
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
-fn disabled(proxy: &Proxy) -> u64 {
-    proxy.figures()["targets_disabled"].as_u64().expect("a count")
+fn disabled_count(proxy: &Proxy) -> u64 {
+    proxy.metrics()["targets_disabled"].as_u64().expect("not a count")
 }
 
-/// Guards against a yes to what is not durable, and against a no to what comes into force all the same.
+/// A command whose change cannot be written must not be acknowledged, and a command that was reported as
+/// failed must not take effect.
 #[test]
-fn a_call_that_is_not_durable_gets_a_no_and_changes_nothing() {
-    let site = Site::new();
+fn unstored_command_fails_without_effect() {
+    let setup = TestSetup::new();
     let faults = Faults::new(json!({}));
-    let proxy = site.start(&faults);
+    let proxy = setup.start(&faults);
     wait_until_ready(&proxy);
-    accepted(&proxy, "DETACH h0");
-    let folder = site.folder();
+    run_until_accepted(&proxy, "DETACH h0");
+    let folder = setup.folder();
     for rule in [
-        json!({"call": "write", "path": STORED, "error": "ENOSPC"}),
-        json!({"call": "write", "path": STORED, "error": "EIO"}),
-        json!({"call": "open", "path": STORED, "error": "EROFS"}),
-        json!({"call": "open", "path": STORED, "error": "EIO"}),
+        json!({"call": "write", "path": STATE_FILE_PREFIX, "error": "ENOSPC"}),
+        json!({"call": "write", "path": STATE_FILE_PREFIX, "error": "EIO"}),
+        json!({"call": "open", "path": STATE_FILE_PREFIX, "error": "EROFS"}),
+        json!({"call": "open", "path": STATE_FILE_PREFIX, "error": "EIO"}),
         json!({"call": "open", "path": "n0.json", "error": "EIO"}),
-        json!({"call": "flock", "path": STORED, "error": "EIO"}),
-        json!({"call": "rename", "path": STORED, "error": "EIO"}),
-        json!({"call": "rename", "path": STORED, "error": "EROFS"}),
-        json!({"call": "fsync", "path": STORED, "error": "EIO"}),
+        json!({"call": "flock", "path": STATE_FILE_PREFIX, "error": "EIO"}),
+        json!({"call": "rename", "path": STATE_FILE_PREFIX, "error": "EIO"}),
+        json!({"call": "rename", "path": STATE_FILE_PREFIX, "error": "EROFS"}),
+        json!({"call": "fsync", "path": STATE_FILE_PREFIX, "error": "EIO"}),
         // The second sync is that of the folder.
         json!({"call": "fsync", "path": folder, "error": "EIO", "skip": 1, "count": 1}),
     ] {
-        faults.change(json!({"rules": [rule]}));
-        // A busy disk may take too long for it before it comes to the fault.
-        let answer = loop {
-            let answer = proxy.call("DETACH h1");
-            if answer.starts_with("+OK") || faults.struck(0) > 0 {
-                break answer;
+        faults.replace_plan(json!({"rules": [rule]}));
+        // On a busy disk the write may time out before it reaches the fault.
+        let reply = loop {
+            let reply = proxy.admin_command("DETACH h1");
+            if reply.starts_with("+OK") || faults.trigger_count(0) > 0 {
+                break reply;
             }
         };
-        assert!(answer.starts_with("-ERR it cannot be written down"), "{rule}: {answer}");
-        assert_eq!(disabled(&proxy), 1, "{rule}");
-        wait_until("the file is as it was", || site.out_on_disk() == ["h0"]);
-        let new = site.platform.dir.join(format!("{STORED}.new"));
-        wait_until("no half of a file holds space", || !new.exists());
+        assert!(reply.starts_with("-ERR it cannot be written down"), "{rule}: {reply}");
+        assert_eq!(disabled_count(&proxy), 1, "{rule}");
+        wait_until("the file is as before", || setup.disabled_on_disk() == ["h0"]);
+        let new = setup.platform.dir.join(format!("{STATE_FILE_PREFIX}.new"));
+        wait_until("the partial file is removed", || !new.exists());
     }
-    faults.change(json!({}));
-    accepted(&proxy, "DETACH h1");
-    assert_eq!(site.out_on_disk(), ["h0", "h1"]);
-    assert_eq!(disabled(&proxy), 2);
+    faults.replace_plan(json!({}));
+    run_until_accepted(&proxy, "DETACH h1");
+    assert_eq!(setup.disabled_on_disk(), ["h0", "h1"]);
+    assert_eq!(disabled_count(&proxy), 2);
 }
 
-/// Guards against an event loop that stands still with the disk, an operator kept waiting past its second,
-/// and a change that comes into force when the disk goes on.
+/// A system call on the folder hangs. It must not block the event loop, the operator must get a reply
+/// within a second, and the change must not take effect when the disk continues.
 #[test]
-fn a_folder_that_hangs_delays_no_answer_and_its_late_write_is_taken_back() {
-    let site = Site::new();
+fn late_write_to_hanging_folder_is_undone() {
+    let setup = TestSetup::new();
     let faults = Faults::new(json!({}));
-    let proxy = site.start(&faults);
+    let proxy = setup.start(&faults);
     wait_until_ready(&proxy);
     for call in ["open", "flock", "write", "fsync", "rename"] {
-        faults.change(json!({"rules": [{"call": call, "path": STORED, "delay_ms": HANG_MS, "count": 1}]}));
-        let mut operator = proxy.operator();
-        operator.write_all(b"DETACH h0\n").expect("written");
-        faults.wait_struck(0, 1);
-        assert_eq!(proxy.client().ask(&look(3000)).status(), 200);
-        assert_eq!(disabled(&proxy), 0, "{call}");
-        let mut answer = String::new();
-        operator.read_to_string(&mut answer).expect("an answer");
-        assert!(answer.starts_with("-ERR it cannot be written down"), "{call}: {answer}");
-        // The next one that is written comes after all that the hang has kept back.
-        accepted(&proxy, "DETACH h1");
-        assert_eq!(site.out_on_disk(), ["h1"], "{call}");
-        assert_eq!(disabled(&proxy), 1, "{call}");
-        accepted(&proxy, "ATTACH h1");
+        faults.replace_plan(
+            json!({"rules": [{"call": call, "path": STATE_FILE_PREFIX, "delay_ms": HANG_MS, "count": 1}]}),
+        );
+        let mut operator = proxy.admin_connection();
+        operator.write_all(b"DETACH h0\n").expect("could not write");
+        faults.wait_until_triggered(0, 1);
+        assert_eq!(proxy.client().round_trip(&look_request(3000)).status(), 200);
+        assert_eq!(disabled_count(&proxy), 0, "{call}");
+        let mut reply = String::new();
+        operator.read_to_string(&mut reply).expect("no reply");
+        assert!(reply.starts_with("-ERR it cannot be written down"), "{call}: {reply}");
+        // The next command that is written comes after everything that the hang has delayed.
+        run_until_accepted(&proxy, "DETACH h1");
+        assert_eq!(setup.disabled_on_disk(), ["h1"], "{call}");
+        assert_eq!(disabled_count(&proxy), 1, "{call}");
+        run_until_accepted(&proxy, "ATTACH h1");
     }
 }
 
-/// Guards against a yes that is forgotten, or a start that fails, after a kill at any step of a write.
+/// A kill at any step of a write must neither lose an acknowledged change nor keep the next process from
+/// starting.
 #[test]
-fn what_was_acknowledged_outlives_a_kill_at_each_step_of_a_write() {
-    let site = Site::new();
-    let folder = site.folder();
-    for (rule, may_hold) in [
-        (json!({"call": "flock", "path": STORED, "kill": true}), false),
-        (json!({"call": "write", "path": STORED, "kill": true}), false),
-        (json!({"call": "write", "path": STORED, "kill": true, "short": 20}), false),
-        (json!({"call": "fsync", "path": STORED, "kill": true}), false),
-        (json!({"call": "rename", "path": STORED, "kill": true}), false),
+fn acknowledged_change_survives_kill_during_write() {
+    let setup = TestSetup::new();
+    let folder = setup.folder();
+    for (rule, may_be_stored) in [
+        (json!({"call": "flock", "path": STATE_FILE_PREFIX, "kill": true}), false),
+        (json!({"call": "write", "path": STATE_FILE_PREFIX, "kill": true}), false),
+        (json!({"call": "write", "path": STATE_FILE_PREFIX, "kill": true, "short": 20}), false),
+        (json!({"call": "fsync", "path": STATE_FILE_PREFIX, "kill": true}), false),
+        (json!({"call": "rename", "path": STATE_FILE_PREFIX, "kill": true}), false),
         (json!({"call": "fsync", "path": folder, "kill": true, "skip": 1}), true),
     ] {
         let faults = Faults::new(json!({}));
-        let mut killed = site.start(&faults);
+        let mut killed = setup.start(&faults);
         wait_until_ready(&killed);
-        accepted(&killed, "DETACH h0");
-        faults.change(json!({"rules": [rule]}));
-        let answer = loop {
-            let mut operator = killed.operator();
-            operator.write_all(b"DETACH h1\n").expect("written");
-            let mut answer = String::new();
-            let _ = operator.read_to_string(&mut answer);
-            // A busy disk may take too long for it before it comes to the kill.
-            if !answer.starts_with("-ERR ") {
-                break answer;
+        run_until_accepted(&killed, "DETACH h0");
+        faults.replace_plan(json!({"rules": [rule]}));
+        let reply = loop {
+            let mut operator = killed.admin_connection();
+            operator.write_all(b"DETACH h1\n").expect("could not write");
+            let mut reply = String::new();
+            let _ = operator.read_to_string(&mut reply);
+            // On a busy disk the write may time out before it reaches the kill.
+            if !reply.starts_with("-ERR ") {
+                break reply;
             }
         };
-        assert_eq!(answer, "", "{rule}");
-        assert!(!killed.child.wait().expect("killed").success());
+        assert_eq!(reply, "", "{rule}");
+        assert!(!killed.child.wait().expect("could not wait for the process").success());
 
-        let next = site.start(&Faults::new(json!({})));
+        let next = setup.start(&Faults::new(json!({})));
         wait_until_ready(&next);
-        let out = site.out_on_disk();
-        assert!(out == ["h0"] || may_hold && out == ["h0", "h1"], "{rule}: {out:?}");
-        assert_eq!(disabled(&next), out.len() as u64, "{rule}");
-        accepted(&next, "DETACH h1");
-        assert_eq!(site.out_on_disk(), ["h0", "h1"], "{rule}");
-        accepted(&next, "ATTACH h1");
+        let disabled_names = setup.disabled_on_disk();
+        assert!(
+            disabled_names == ["h0"] || may_be_stored && disabled_names == ["h0", "h1"],
+            "{rule}: {disabled_names:?}"
+        );
+        assert_eq!(disabled_count(&next), disabled_names.len() as u64, "{rule}");
+        run_until_accepted(&next, "DETACH h1");
+        assert_eq!(setup.disabled_on_disk(), ["h0", "h1"], "{rule}");
+        run_until_accepted(&next, "ATTACH h1");
     }
 }
 
-/// Prevents a change from outliving its process that came into force late, after its operator was told that
-/// it does not: it is taken back before anything else is waited for.
+/// A change reaches the file late, after its operator was told that it failed. It has to be undone before
+/// anything else is waited for, or it would survive the process.
 #[test]
-fn a_late_change_is_taken_back_before_the_folder_is_synced() {
-    let site = Site::new();
+fn late_change_is_undone_before_folder_sync() {
+    let setup = TestSetup::new();
     let faults = Faults::new(json!({}));
-    let mut killed = site.start(&faults);
+    let mut killed = setup.start(&faults);
     wait_until_ready(&killed);
-    accepted(&killed, "DETACH h0");
+    run_until_accepted(&killed, "DETACH h0");
     let plan = json!({"rules": [
-        {"call": "rename", "path": STORED, "delay_ms": 1500, "count": 1},
-        // All syncs of files, so that the next rule is about those of the folder.
-        {"call": "fsync", "path": STORED},
-        {"call": "fsync", "path": site.folder(), "delay_ms": HANG_MS}]});
-    faults.change(plan.clone());
-    assert!(killed.call("DETACH h1").starts_with("-ERR "));
-    // A busy disk may take too long for it before it comes to the fault.
-    while faults.struck(0) == 0 {
-        faults.change(plan.clone());
-        assert!(killed.call("DETACH h1").starts_with("-ERR "));
+        {"call": "rename", "path": STATE_FILE_PREFIX, "delay_ms": 1500, "count": 1},
+        // Matches all syncs of files, so that the next rule applies only to those of the folder.
+        {"call": "fsync", "path": STATE_FILE_PREFIX},
+        {"call": "fsync", "path": setup.folder(), "delay_ms": HANG_MS}]});
+    faults.replace_plan(plan.clone());
+    assert!(killed.admin_command("DETACH h1").starts_with("-ERR "));
+    // On a busy disk the write may time out before it reaches the fault.
+    while faults.trigger_count(0) == 0 {
+        faults.replace_plan(plan.clone());
+        assert!(killed.admin_command("DETACH h1").starts_with("-ERR "));
     }
-    faults.wait_struck(2, 1);
-    killed.child.kill().expect("running");
-    killed.child.wait().expect("killed");
-    assert_eq!(site.out_on_disk(), ["h0"]);
+    faults.wait_until_triggered(2, 1);
+    killed.child.kill().expect("the process has ended");
+    killed.child.wait().expect("could not wait for the process");
+    assert_eq!(setup.disabled_on_disk(), ["h0"]);
 
-    let next = site.start(&Faults::new(json!({})));
+    let next = setup.start(&Faults::new(json!({})));
     wait_until_ready(&next);
-    assert_eq!(disabled(&next), 1);
+    assert_eq!(disabled_count(&next), 1);
 }
 
-/// Guards against an endpoint that is disabled by an operator and used by the next process since its disk
-/// hung at the start.
+/// The folder hangs for 2 s at the start. The process must not use an endpoint that an operator disabled at
+/// the process before.
 #[test]
-fn a_start_on_a_folder_that_hangs_for_2_s_uses_nothing_that_is_out() {
-    let site = Site::new();
-    std::fs::write(site.file(), r#"{"version":1,"out":["h0"]}"#).expect("written");
+fn start_on_hanging_folder_honors_operator_overrides() {
+    let setup = TestSetup::new();
+    std::fs::write(setup.file(), r#"{"version":1,"out":["h0"]}"#).expect("could not write");
     let hang = json!({"call": "open", "path": "n0.json", "delay_ms": 2000, "count": 1});
-    let proxy = site.start(&Faults::new(json!({"rules": [hang]})));
+    let proxy = setup.start(&Faults::new(json!({"rules": [hang]})));
     let mut served = 0;
     while served < 20 {
-        let answer = proxy.client().ask(&look(3000));
-        served += usize::from(answer.status() == 200);
+        let response = proxy.client().round_trip(&look_request(3000));
+        served += usize::from(response.status() == 200);
     }
-    assert_eq!(site.upstreams[0].requests_so_far(), 0);
-    assert_eq!(disabled(&proxy), 1);
+    assert_eq!(setup.upstreams[0].take_request_count(), 0);
+    assert_eq!(disabled_count(&proxy), 1);
 }
 
-/// Guards against a start that a folder holds up for good, and against what it holds being lost or
-/// overwritten when it can be read at last.
+/// A folder that hangs or fails must not block the start for good, and its content must be neither lost nor
+/// overwritten once it can be read.
 #[test]
-fn a_start_on_a_folder_that_does_not_answer_serves_and_follows_it_later() {
+fn unavailable_folder_is_loaded_later() {
     for fault in [json!({"delay_ms": 10_000, "count": 1}), json!({"error": "EIO"})] {
-        let site = Site::new();
-        std::fs::write(site.file(), r#"{"version":1,"out":["h0"]}"#).expect("written");
+        let setup = TestSetup::new();
+        std::fs::write(setup.file(), r#"{"version":1,"out":["h0"]}"#).expect("could not write");
         let mut rule = fault.clone();
         (rule["call"], rule["path"]) = (json!("open"), json!("n0.json"));
         let faults = Faults::new(json!({"rules": [rule]}));
-        let proxy = site.start(&faults);
+        let proxy = setup.start(&faults);
         wait_until_ready(&proxy);
-        assert_eq!(proxy.client().ask(&look(3000)).status(), 200);
-        assert_eq!(disabled(&proxy), 0, "{fault}");
-        assert!(proxy.call("DETACH h1").starts_with("-ERR "), "{fault}");
-        assert_eq!(site.out_on_disk(), ["h0"], "{fault}");
-        faults.change(json!({}));
-        wait_until("what was left holds", || disabled(&proxy) == 1);
-        accepted(&proxy, "DETACH h1");
-        assert_eq!(site.out_on_disk(), ["h0", "h1"], "{fault}");
+        assert_eq!(proxy.client().round_trip(&look_request(3000)).status(), 200);
+        assert_eq!(disabled_count(&proxy), 0, "{fault}");
+        assert!(proxy.admin_command("DETACH h1").starts_with("-ERR "), "{fault}");
+        assert_eq!(setup.disabled_on_disk(), ["h0"], "{fault}");
+        faults.replace_plan(json!({}));
+        wait_until("the stored override takes effect", || disabled_count(&proxy) == 1);
+        run_until_accepted(&proxy, "DETACH h1");
+        assert_eq!(setup.disabled_on_disk(), ["h0", "h1"], "{fault}");
     }
 }
 
-/// Guards against an upgrade that fails since the new process cannot write that it is there.
+/// A new process that cannot write its id into the state file must not make the upgrade fail.
 #[test]
-fn a_process_that_cannot_be_entered_in_the_folder_serves_and_is_entered_later() {
-    let site = Site::new();
-    let faults = Faults::new(json!({"rules": [{"call": "write", "path": STORED, "error": "ENOSPC"}]}));
-    let proxy = site.start_shared(&faults);
+fn failed_registration_is_retried_while_serving() {
+    let setup = TestSetup::new();
+    let faults =
+        Faults::new(json!({"rules": [{"call": "write", "path": STATE_FILE_PREFIX, "error": "ENOSPC"}]}));
+    let proxy = setup.start_shared(&faults);
     wait_until_ready(&proxy);
-    assert_eq!(proxy.client().ask(&look(3000)).status(), 200);
-    assert!(!site.file().exists());
-    faults.change(json!({}));
-    wait_until("it is entered", || site.on_disk()["processes"] == json!([proxy.child.id()]));
+    assert_eq!(proxy.client().round_trip(&look_request(3000)).status(), 200);
+    assert!(!setup.file().exists());
+    faults.replace_plan(json!({}));
+    wait_until("the process is registered", || setup.on_disk()["processes"] == json!([proxy.child.id()]));
 }
 
-/// Guards against the other process of an upgrade that follows a change before it is acknowledged, or after
-/// it has been taken back.
+/// The other process of an upgrade must not apply a change before it is acknowledged, nor one that is
+/// undone.
 #[test]
-fn the_other_process_never_sees_what_was_not_acknowledged() {
-    let site = Site::new();
+fn other_process_never_applies_unacknowledged_change() {
+    let setup = TestSetup::new();
     let (faults, none) = (Faults::new(json!({})), Faults::new(json!({})));
-    let (old, new) = (site.start_shared(&faults), site.start_shared(&none));
+    let (old, new) = (setup.start_shared(&faults), setup.start_shared(&none));
     for proxy in [&old, &new] {
         wait_until_ready(proxy);
-        // Whatever the start has written is written.
-        accepted(proxy, "DETACH h1");
+        // By then everything that the start writes has been written.
+        run_until_accepted(proxy, "DETACH h1");
     }
-    accepted(&old, "ATTACH h1");
-    wait_until("it is followed", || disabled(&new) == 0);
+    run_until_accepted(&old, "ATTACH h1");
+    wait_until("the other process applies the change", || disabled_count(&new) == 0);
     // The second sync is that of the folder: by then the file has been replaced.
-    let rule = json!({"call": "fsync", "path": site.folder(), "delay_ms": HANG_MS, "skip": 1, "count": 1});
-    // A busy disk may take too long for it before it comes to that.
-    while site.out_on_disk().is_empty() {
-        faults.change(json!({"rules": [rule]}));
-        assert!(old.call("DETACH h0").starts_with("-ERR "));
+    let rule = json!({"call": "fsync", "path": setup.folder(), "delay_ms": HANG_MS, "skip": 1, "count": 1});
+    // On a busy disk the write may time out before it gets that far.
+    while setup.disabled_on_disk().is_empty() {
+        faults.replace_plan(json!({"rules": [rule]}));
+        assert!(old.admin_command("DETACH h0").starts_with("-ERR "));
     }
-    while site.out_on_disk() == ["h0"] {
-        assert_eq!((disabled(&old), disabled(&new)), (0, 0));
+    while setup.disabled_on_disk() == ["h0"] {
+        assert_eq!((disabled_count(&old), disabled_count(&new)), (0, 0));
     }
-    assert_eq!((disabled(&old), disabled(&new)), (0, 0));
+    assert_eq!((disabled_count(&old), disabled_count(&new)), (0, 0));
 }
 
-/// Guards against a list that is followed only once it has been handed on.
+/// A new list must take effect without waiting until it has been written for the next process.
 #[test]
-fn discovery_is_followed_while_the_folder_hangs() {
-    let site = Site::new();
+fn new_list_is_applied_while_folder_hangs() {
+    let setup = TestSetup::new();
     let faults = Faults::new(json!({}));
-    let proxy = site.start_shared(&faults);
+    let proxy = setup.start_shared(&faults);
     wait_until_ready(&proxy);
-    site.discovery_server.wait_until_known();
-    accepted(&proxy, "ATTACH h0");
-    let before = site.on_disk()["list"].clone();
-    faults.change(json!({"rules": [{"call": "rename", "path": STORED, "delay_ms": HANG_MS, "count": 1}]}));
-    site.discovery_server.tell(entries(&site.upstreams, "DRAINING"), true);
-    faults.wait_struck(0, 1);
-    site.discovery_server.wait_until_known();
-    assert_eq!(site.on_disk()["list"], before, "the list was handed on before it was followed");
+    setup.discovery_server.wait_until_list_received();
+    run_until_accepted(&proxy, "ATTACH h0");
+    let before = setup.on_disk()["list"].clone();
+    faults.replace_plan(
+        json!({"rules": [{"call": "rename", "path": STATE_FILE_PREFIX, "delay_ms": HANG_MS, "count": 1}]}),
+    );
+    setup.discovery_server.publish(entries(&setup.upstreams, "DRAINING"), true);
+    faults.wait_until_triggered(0, 1);
+    setup.discovery_server.wait_until_list_received();
+    assert_eq!(setup.on_disk()["list"], before, "the list was stored before it was applied");
 }
 
-/// Guards against an operator that loses its place, and its answer, to callers that say nothing while the
-/// disk hangs.
+/// While the disk hangs, idle operator connections must not displace the one that waits for its reply.
 #[test]
-fn an_operator_that_waits_for_the_folder_is_answered_beside_callers_that_say_nothing() {
-    let site = Site::new();
+fn idle_operators_do_not_displace_waiting_one() {
+    let setup = TestSetup::new();
     let faults = Faults::new(json!({}));
-    let proxy = site.start(&faults);
+    let proxy = setup.start(&faults);
     wait_until_ready(&proxy);
-    let rule = json!({"call": "rename", "path": STORED, "delay_ms": HANG_MS, "count": 1});
-    faults.change(json!({"rules": [rule]}));
-    let mut operator = proxy.operator();
-    operator.write_all(b"DETACH h0\n").expect("written");
-    faults.wait_struck(0, 1);
-    let holders: Vec<_> = (0..60).map(|_| proxy.operator()).collect();
-    let mut answer = String::new();
-    let _ = operator.read_to_string(&mut answer);
-    assert!(answer.starts_with("-ERR it cannot be written down"), "{answer:?}");
+    let rule = json!({"call": "rename", "path": STATE_FILE_PREFIX, "delay_ms": HANG_MS, "count": 1});
+    faults.replace_plan(json!({"rules": [rule]}));
+    let mut operator = proxy.admin_connection();
+    operator.write_all(b"DETACH h0\n").expect("could not write");
+    faults.wait_until_triggered(0, 1);
+    let holders: Vec<_> = (0..60).map(|_| proxy.admin_connection()).collect();
+    let mut reply = String::new();
+    let _ = operator.read_to_string(&mut reply);
+    assert!(reply.starts_with("-ERR it cannot be written down"), "{reply:?}");
     drop(holders);
 }
 
-/// Guards against slow start that began before the endpoint was back: a put-back counts from when it is
-/// written, not from the call, which may have waited for the folder.
+/// Slow start of an endpoint that is enabled again counts from when ATTACH is written, not from the
+/// command, which may have waited for the folder.
 #[test]
-fn a_put_back_counts_from_when_it_is_written() {
+fn slow_start_begins_when_attach_is_stored() {
     const WAIT_MS: u64 = 200;
-    let site = Site::new();
+    let setup = TestSetup::new();
     let faults = Faults::new(json!({}));
-    let proxy = site.start(&faults);
+    let proxy = setup.start(&faults);
     wait_until_ready(&proxy);
-    accepted(&proxy, "DETACH h0");
-    accepted(&proxy, "DETACH h1");
-    accepted(&proxy, "ATTACH h0");
-    let rule = json!({"call": "flock", "path": STORED, "delay_ms": WAIT_MS, "count": 1});
-    faults.change(json!({"rules": [rule]}));
-    accepted(&proxy, "ATTACH h1");
-    let put_back = |name| site.on_disk()["back_monotonic"]["at"][name].as_f64().expect("a time");
-    assert!(put_back("h1") - put_back("h0") >= WAIT_MS as f64, "the wait is counted as slow start");
+    run_until_accepted(&proxy, "DETACH h0");
+    run_until_accepted(&proxy, "DETACH h1");
+    run_until_accepted(&proxy, "ATTACH h0");
+    let rule = json!({"call": "flock", "path": STATE_FILE_PREFIX, "delay_ms": WAIT_MS, "count": 1});
+    faults.replace_plan(json!({"rules": [rule]}));
+    run_until_accepted(&proxy, "ATTACH h1");
+    let put_back =
+        |name| setup.on_disk()["back_monotonic"]["at"][name].as_f64().expect("no time for this endpoint");
+    assert!(
+        put_back("h1") - put_back("h0") >= WAIT_MS as f64,
+        "the wait for the folder counted as slow start"
+    );
 }
--- a/client-proxy/tests/unbounded_responses.rs
+++ b/client-proxy/tests/unbounded_responses.rs
@@ -1,4 +1,4 @@
-//! Answers without a length: what comes whole is forwarded as served, and a reset is no end.
+//! Responses without `Content-Length`: a complete one is forwarded, and a reset never counts as its end.
 
 mod common;
 
@@ -13,21 +13,21 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Form {
-    /// Its end is that of the connection.
-    ToTheEnd,
+    /// The close of the connection ends it.
+    UntilClose,
     Chunked,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum End {
-    Whole,
-    /// A reset where the end would be.
+    Complete,
+    /// A reset in place of the end.
     Reset,
 }
 
-/// How an endpoint answers: so many pieces of this length, with a pause before each and before the end.
+/// How an endpoint responds: so many pieces of this length, with a pause before each and before the end.
 #[derive(Clone, Copy, Debug)]
-struct Script {
+struct ResponseCase {
     form: Form,
     pieces: usize,
     length: usize,
@@ -35,16 +35,16 @@
     end: End,
 }
 
-impl Script {
+impl ResponseCase {
     fn body(&self) -> Vec<u8> {
         (0..self.pieces * self.length).map(|i| (i * 31 + i / 251) as u8).collect()
     }
 
-    /// Answers one request.
-    fn play(&self, reader: &mut BufReader<std::net::TcpStream>) -> std::io::Result<()> {
+    /// Responds to one request.
+    fn respond(&self, reader: &mut BufReader<std::net::TcpStream>) -> std::io::Result<()> {
         let stream = reader.get_mut();
         let form = match self.form {
-            Form::ToTheEnd => "Connection: close",
+            Form::UntilClose => "Connection: close",
             Form::Chunked => "Transfer-Encoding: chunked",
         };
         stream.write_all(format!("HTTP/1.1 200 OK\r\n{form}\r\n\r\n").as_bytes())?;
@@ -52,7 +52,7 @@
         for piece in body.chunks(self.length.max(1)) {
             std::thread::sleep(self.pause);
             match self.form {
-                Form::ToTheEnd => stream.write_all(piece)?,
+                Form::UntilClose => stream.write_all(piece)?,
                 Form::Chunked => {
                     let head = format!("{:x}\r\n", piece.len());
                     stream.write_all(&[head.as_bytes(), piece, b"\r\n"].concat())?;
@@ -62,47 +62,47 @@
         std::thread::sleep(self.pause);
         match (self.end, self.form) {
             (End::Reset, _) => {
-                // Guards against a break that overtakes the words: it takes back what was not read yet.
+                // A reset discards data that the peer has not read yet, so the peer gets time to read it.
                 std::thread::sleep(Duration::from_millis(30));
                 socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO))
             }
-            (End::Whole, Form::Chunked) => stream.write_all(b"0\r\n\r\n"),
-            (End::Whole, Form::ToTheEnd) => stream.shutdown(std::net::Shutdown::Both),
+            (End::Complete, Form::Chunked) => stream.write_all(b"0\r\n\r\n"),
+            (End::Complete, Form::UntilClose) => stream.shutdown(std::net::Shutdown::Both),
         }
     }
 }
 
-/// The body that a client has from an answer played so, if it can take it for a whole 200; and the attempts
-/// made.
-fn forwarded(script: Script) -> (Option<Vec<u8>>, usize) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+/// The body that a client receives from such a response, if it takes it for a complete 200, and the number
+/// of attempts.
+fn forwarded(case: ResponseCase) -> (Option<Vec<u8>>, usize) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+    let address = listener.local_addr().expect("no local address");
     let attempts = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&attempts);
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let mut reader = BufReader::new(stream.expect("a connection"));
+            let mut reader = BufReader::new(stream.expect("accept failed"));
             if read_message(&mut reader).is_some() {
                 count.fetch_add(1, Ordering::SeqCst);
-                let _ = script.play(&mut reader);
+                let _ = case.respond(&mut reader);
             }
         }
     });
     let discovery_server = DiscoveryServer::start(json!([endpoint("h", address, "SERVING")]));
     let proxy = Proxy::start(&config(discovery_server.address, settings()));
-    discovery_server.wait_until_known();
+    discovery_server.wait_until_list_received();
     let mut client = proxy.client();
     client.write(&post("pay", 3000, "Connection: close\r\n", ""));
-    let mut all = Vec::new();
-    let closed = client.stream.read_to_end(&mut all).is_ok();
-    let body = whole_body(&all).filter(|_| closed);
+    let mut received = Vec::new();
+    let is_closed = client.stream.read_to_end(&mut received).is_ok();
+    let body = complete_body(&received).filter(|_| is_closed);
     (body, attempts.load(Ordering::SeqCst))
 }
 
-fn whole_body(all: &[u8]) -> Option<Vec<u8>> {
-    let split = all.windows(4).position(|window| window == b"\r\n\r\n")?;
-    let head = String::from_utf8_lossy(&all[..split]).to_lowercase();
-    let mut rest = &all[split + 4..];
+fn complete_body(received: &[u8]) -> Option<Vec<u8>> {
+    let split = received.windows(4).position(|window| window == b"\r\n\r\n")?;
+    let head = String::from_utf8_lossy(&received[..split]).to_lowercase();
+    let mut rest = &received[split + 4..];
     if !head.starts_with("http/1.1 200 ") {
         return None;
     }
@@ -123,49 +123,50 @@
     }
 }
 
-/// All scripts with this end: nothing, a little and much, in one piece and several, with pauses shorter and
-/// longer than an answer is looked at before it is passed on.
-fn scripts(end: End) -> Vec<Script> {
-    let mut scripts = Vec::new();
-    for form in [Form::ToTheEnd, Form::Chunked] {
+/// All cases with this end: an empty, a short and a long body, in one piece and several, with pauses
+/// shorter and longer than the client proxy waits for more of a response before it forwards it.
+fn cases(end: End) -> Vec<ResponseCase> {
+    let mut cases = Vec::new();
+    for form in [Form::UntilClose, Form::Chunked] {
         for (pieces, length) in [(0, 0), (1, 5), (3, 7), (3, 100_000)] {
             for pause in [0, 5, 60, 200].map(Duration::from_millis) {
-                scripts.push(Script { form, pieces, length, pause, end });
+                cases.push(ResponseCase { form, pieces, length, pause, end });
             }
         }
     }
-    scripts
+    cases
 }
 
-/// Plays all scripts side by side: they are mostly pauses.
-fn play_all(end: End, verdict: fn(&Script, Option<Vec<u8>>, usize)) {
-    let scripts = scripts(end);
-    for some in scripts.chunks(8) {
+/// Runs all cases, eight at a time since they mostly sleep.
+fn run_all(end: End, check: fn(&ResponseCase, Option<Vec<u8>>, usize)) {
+    let cases = cases(end);
+    for batch in cases.chunks(8) {
         std::thread::scope(|scope| {
-            for script in some {
+            for case in batch {
                 scope.spawn(move || {
-                    let (body, attempts) = forwarded(*script);
-                    verdict(script, body, attempts);
+                    let (body, attempts) = forwarded(*case);
+                    check(case, body, attempts);
                 });
             }
         });
     }
 }
 
-/// Guards against a whole answer that is failed for having no length.
+/// A complete response must not be failed for having no length.
 #[test]
-fn a_complete_answer_without_a_length_is_forwarded() {
-    play_all(End::Whole, |script, body, attempts| {
-        assert!(body == Some(script.body()), "{script:?}: {:?}", body.map(|body| body.len()));
-        assert_eq!(attempts, 1, "{script:?}");
+fn complete_response_without_length_is_forwarded() {
+    run_all(End::Complete, |case, body, attempts| {
+        assert!(body == Some(case.body()), "{case:?}: {:?}", body.map(|body| body.len()));
+        assert_eq!(attempts, 1, "{case:?}");
     });
 }
 
-/// Guards against a cut answer passed off as a whole one, and against a second effect.
+/// A truncated response must not be forwarded as a complete one, and an unsafe request must not be retried
+/// for it.
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_not_whole() {
-    play_all(End::Reset, |script, body, attempts| {
-        assert!(body.is_none(), "{script:?}");
-        assert_eq!(attempts, 1, "{script:?}");
+fn reset_response_without_length_is_not_complete() {
+    run_all(End::Reset, |case, body, attempts| {
+        assert!(body.is_none(), "{case:?}");
+        assert_eq!(attempts, 1, "{case:?}");
     });
 }
