--- a/discovery-relay/src/catalog.rs
+++ b/discovery-relay/src/catalog.rs
@@ -1,5 +1,5 @@
-//! What a relay holds of the list, without I/O and without a clock: entries as discovery wrote them, a
-//! compacted log of their changes for each service, and what each scope's watchers are told, encoded once.
+//! The relay's copy of the endpoint list, without I/O and without a clock: the entries as discovery sent
+//! them, a compacted change log per service, and the encoded responses of each scope, shared by its watchers.
 
 mod log;
 mod scope;
@@ -17,30 +17,32 @@
 use self::log::Log;
 pub use self::scope::Scope;
 
-/// An entry is one line of a list; one that is longer is none.
+/// The maximum length of an entry, which is one JSON object. A longer one counts as unreadable.
 const MAX_ENTRY_LENGTH: usize = 4 * 1024;
-/// A whole list that takes out more than one in so many of what is held has to be said twice.
+/// A full snapshot that removes more than one in this many of the known endpoints has to be confirmed by a
+/// second one.
 const SUSPICIOUS_SHRINK_FACTOR: usize = 2;
-/// Fewer than this may go at once: small lists shrink by halves in ordinary service.
+/// A snapshot that removes fewer endpoints than this needs no confirmation: a small service may well lose
+/// half of its endpoints in normal operation.
 const MIN_SUSPICIOUS_SHRINK: usize = 8;
 
-/// What was read of an answer of the source.
+/// A parsed response of the source.
 pub struct Update {
-    /// The version that it brings the list to.
+    /// The version that the list has after this response.
     pub index: u64,
-    /// It is the whole list.
-    pub whole: bool,
-    /// ParsedEntries that could not be read.
+    /// Whether it is a full snapshot.
+    pub full_snapshot: bool,
+    /// The number of entries that could not be parsed.
     pub unreadable: usize,
     entries: Vec<Entry>,
 }
 
 impl Update {
-    /// Reads the body of an answer.
+    /// Parses the body of a response.
     ///
     /// # Errors
-    /// Where it is no list.
-    pub fn read(body: &[u8]) -> Result<Update, EndpointListError> {
+    /// If it is not a usable list.
+    pub fn parse(body: &[u8]) -> Result<Update, EndpointListError> {
         #[derive(Deserialize)]
         struct List<'a> {
             index: u64,
@@ -49,28 +51,28 @@
             #[serde(borrow)]
             endpoints: Vec<&'a RawValue>,
         }
-        let List { index, snapshot: whole, endpoints } = serde_json::from_slice(body)?;
-        let entries: Vec<Entry> = endpoints.iter().filter_map(|raw| Entry::read(raw.get())).collect();
+        let List { index, snapshot: full_snapshot, endpoints } = serde_json::from_slice(body)?;
+        let entries: Vec<Entry> = endpoints.iter().filter_map(|raw| Entry::parse(raw.get())).collect();
         let unreadable = endpoints.len() - entries.len();
-        if whole && unreadable > 0 && entries.is_empty() {
+        if full_snapshot && unreadable > 0 && entries.is_empty() {
             return Err(EndpointListError::NoReadableEntries);
         }
-        Ok(Update { index, whole, unreadable, entries })
+        Ok(Update { index, full_snapshot, unreadable, entries })
     }
 
-    /// ParsedEntries that could be read.
+    /// The number of valid entries.
     pub fn readable(&self) -> usize {
         self.entries.len()
     }
 }
 
-/// An endpoint, as discovery wrote it.
+/// An endpoint's entry, with its JSON as discovery sent it.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     name: Rc<str>,
     service: Rc<str>,
-    text: Bytes,
-    gone: bool,
+    json: Bytes,
+    is_removed: bool,
 }
 
 #[derive(Deserialize)]
@@ -82,301 +84,327 @@
 }
 
 impl Entry {
-    /// Nothing where its name or state cannot be read: the rest is for who uses it.
-    fn read(text: &str) -> Option<Entry> {
+    /// `None` if the name or the status cannot be parsed. The other fields are checked only by the client
+    /// proxy that uses the entry.
+    fn parse(json: &str) -> Option<Entry> {
         #[derive(Deserialize)]
         struct Head {
             name: String,
             status: Status,
         }
-        let head: Head = (text.len() <= MAX_ENTRY_LENGTH).then(|| serde_json::from_str(text).ok())??;
+        let head: Head = (json.len() <= MAX_ENTRY_LENGTH).then(|| serde_json::from_str(json).ok())??;
         let (service, name) = (service_of(&head.name).into(), head.name.into());
-        let text = Bytes::copy_from_slice(text.as_bytes());
-        Some(Entry { name, service, text, gone: matches!(head.status, Status::Deleted) })
+        let json = Bytes::copy_from_slice(json.as_bytes());
+        Some(Entry { name, service, json, is_removed: matches!(head.status, Status::Deleted) })
     }
 
-    /// The word that it is gone, for one that a whole list no longer has.
-    fn deleted(&self) -> Entry {
-        let mut said: serde_json::Map<String, Value> = serde_json::from_slice(&self.text).unwrap_or_default();
-        said.insert("name".into(), (*self.name).into());
-        said.insert("status".into(), "DELETED".into());
-        Entry { text: Value::Object(said).to_string().into(), gone: true, ..self.clone() }
+    /// The entry that reports the removal of an endpoint that a full snapshot no longer contains.
+    fn tombstone(&self) -> Entry {
+        let mut fields: serde_json::Map<String, Value> =
+            serde_json::from_slice(&self.json).unwrap_or_default();
+        fields.insert("name".into(), (*self.name).into());
+        fields.insert("status".into(), "DELETED".into());
+        Entry { json: Value::Object(fields).to_string().into(), is_removed: true, ..self.clone() }
     }
 
-    /// Whether both say the same, however it is spaced and ordered.
-    fn says_the_same(&self, other: &Entry) -> bool {
-        let parsed = |entry: &Entry| serde_json::from_slice::<Value>(&entry.text).ok();
-        self.text == other.text || parsed(self) == parsed(other)
+    /// Whether both have the same JSON value, whatever its white space and the order of its fields.
+    fn is_equivalent(&self, other: &Entry) -> bool {
+        let parsed = |entry: &Entry| serde_json::from_slice::<Value>(&entry.json).ok();
+        self.json == other.json || parsed(self) == parsed(other)
     }
 }
 
-/// The service of an endpoint: its name up to the last `-`, in lower case as authorities are compared.
+/// The service of an endpoint: its name up to the last `-`, in lower case, since authorities are compared
+/// without regard to case.
 fn service_of(name: &str) -> String {
     name.rsplit_once('-').map_or(name, |(service, _)| service).to_ascii_lowercase()
 }
 
-/// What became of an answer of the source.
+/// The result of [`Catalog::apply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// So many endpoints have changed.
+    /// The update was applied and has changed this many endpoints.
     Changed(usize),
-    /// A whole list that takes out most of what is held: it counts when it is said again.
+    /// The update was not applied: it is a full snapshot that would remove most of the known endpoints, and
+    /// the next one has to confirm that.
     AwaitingConfirmation,
 }
 
-/// What a caller is to be told.
+/// The result of [`Catalog::list_after`].
 #[derive(Debug)]
-pub enum CatalogAnswer {
-    /// This.
-    News(EncodedList),
-    /// Nothing is newer than the version that the caller holds.
-    Nothing,
-    /// The caller holds a newer version.
+pub enum CatalogResponse {
+    /// A full snapshot or a list of changes.
+    List(EncodedList),
+    /// There are no changes after the downstream's version.
+    Unchanged,
+    /// The downstream has a newer version than the catalog.
     Behind,
 }
 
-/// An answer: a head with the version, and the rest, which many answers share.
+/// An encoded response body: a head with the version, and a tail that many responses share.
 #[derive(Clone, Debug)]
 pub struct EncodedList {
-    /// The version that the caller holds from then on.
+    /// The version that the downstream has after this response.
     pub index: u64,
-    /// All but the version.
-    pub rest: Bytes,
+    /// Everything but the version.
+    pub tail: Bytes,
 }
 
 impl EncodedList {
-    /// Nothing is newer.
-    pub fn nothing(index: u64) -> EncodedList {
-        EncodedList { index, rest: Bytes::from_static(br#""snapshot":false,"endpoints":[]}"#) }
+    /// An empty list of changes.
+    pub fn unchanged(index: u64) -> EncodedList {
+        EncodedList { index, tail: Bytes::from_static(br#""snapshot":false,"endpoints":[]}"#) }
     }
 
-    /// What comes before the rest.
+    /// The part before the tail.
     pub fn head(&self) -> Bytes {
         format!("{{\"index\":{},", self.index).into()
     }
 }
 
-/// Names that are gone are kept so many a service, and so long, for who asks from before.
+/// For how long removed endpoints are remembered, so that a downstream with an older version can still be
+/// sent their removal as a change.
 #[derive(Clone, Copy, Debug)]
 pub struct TombstoneRetention {
-    /// A service.
-    pub most: usize,
-    /// Since they went.
-    pub long: Duration,
+    /// The maximum number of tombstones of one service.
+    pub max_per_service: usize,
+    /// The maximum time since the removal.
+    pub max_age: Duration,
 }
 
 /// See the module documentation.
 pub struct Catalog {
-    keep: TombstoneRetention,
-    /// The version held; nothing before the first whole list.
+    retention: TombstoneRetention,
+    /// The current version; `None` before the first full snapshot.
     index: Option<u64>,
-    /// The greatest version told before the source was set back.
-    before_set_back: Option<u64>,
-    /// The last whole list was doubted.
-    doubted: bool,
-    listed: usize,
-    everything: Log,
+    /// The highest version served before the source was reset to a lower one.
+    max_index_before_reset: Option<u64>,
+    /// Whether the last full snapshot was not applied and awaits confirmation.
+    awaits_confirmation: bool,
+    endpoint_count: usize,
+    all_services: Log,
     services: HashMap<Rc<str>, Service>,
-    /// Those of the configuration, and by the services that they hold.
-    named: HashMap<Rc<str>, Rc<Scope>>,
-    holding: HashMap<Rc<str>, Vec<Rc<Scope>>>,
-    whole: Rc<Scope>,
+    /// The scopes of the configuration, by name.
+    configured_scopes: HashMap<Rc<str>, Rc<Scope>>,
+    /// The same scopes, by the services that they contain.
+    scopes_by_service: HashMap<Rc<str>, Vec<Rc<Scope>>>,
+    full_scope: Rc<Scope>,
 }
 
 struct Service {
     log: Log,
-    /// Of this service alone; made when somebody asks for it.
-    own: Option<Rc<Scope>>,
-    /// Those of the configuration that it belongs to.
+    /// The scope of this service alone, created on its first request.
+    own_scope: Option<Rc<Scope>>,
+    /// The scopes of the configuration that contain it.
     scopes: Vec<Rc<Scope>>,
 }
 
 impl Catalog {
-    /// Holds nothing yet. Scopes: by name, the services of each.
-    pub fn new(keep: TombstoneRetention, scopes: impl IntoIterator<Item = (String, Vec<String>)>) -> Catalog {
-        let (mut named, mut holding) = (HashMap::new(), HashMap::<Rc<str>, Vec<Rc<Scope>>>::new());
+    /// Starts without a list. `scopes` has the services of each configured scope, by the scope's name.
+    pub fn new(
+        retention: TombstoneRetention,
+        scopes: impl IntoIterator<Item = (String, Vec<String>)>,
+    ) -> Catalog {
+        let (mut configured_scopes, mut scopes_by_service) =
+            (HashMap::new(), HashMap::<Rc<str>, Vec<Rc<Scope>>>::new());
         for (name, services) in scopes {
             let services = services.iter().map(|service| service.to_ascii_lowercase().into());
             let services: BTreeSet<Rc<str>> = services.collect();
-            let scope = Rc::new(Scope::of(services.iter().cloned().collect()));
+            let scope = Rc::new(Scope::new(services.iter().cloned().collect()));
             for service in services {
-                holding.entry(service).or_default().push(Rc::clone(&scope));
+                scopes_by_service.entry(service).or_default().push(Rc::clone(&scope));
             }
-            named.insert(name.to_ascii_lowercase().into(), scope);
+            configured_scopes.insert(name.to_ascii_lowercase().into(), scope);
         }
         Catalog {
-            keep,
+            retention,
             index: None,
-            before_set_back: None,
-            doubted: false,
-            listed: 0,
-            everything: Log::default(),
+            max_index_before_reset: None,
+            awaits_confirmation: false,
+            endpoint_count: 0,
+            all_services: Log::default(),
             services: HashMap::new(),
-            named,
-            holding,
-            whole: Rc::new(Scope::everything()),
+            configured_scopes,
+            scopes_by_service,
+            full_scope: Rc::new(Scope::all_services()),
         }
     }
 
-    /// The version held; nothing before the first whole list.
+    /// The current version; `None` before the first full snapshot.
     pub fn index(&self) -> Option<u64> {
         self.index
     }
 
-    /// Endpoints listed.
-    pub fn listed(&self) -> usize {
-        self.listed
+    /// The number of endpoints in the current list.
+    pub fn endpoint_count(&self) -> usize {
+        self.endpoint_count
     }
 
     /// The scope of all services.
-    pub fn whole(&self) -> Rc<Scope> {
-        Rc::clone(&self.whole)
+    pub fn full_scope(&self) -> Rc<Scope> {
+        Rc::clone(&self.full_scope)
     }
 
-    /// The scope that an authority names, port left out; nothing where none does.
+    /// The configured scope or the service of this name, if there is one. Names come from an authority,
+    /// without its port.
     pub fn scope(&mut self, name: &str) -> Option<Rc<Scope>> {
         let name = name.to_ascii_lowercase();
-        if let Some(scope) = self.named.get(name.as_str()) {
+        if let Some(scope) = self.configured_scopes.get(name.as_str()) {
             return Some(Rc::clone(scope));
         }
         let (name, service) = self.services.get_key_value(name.as_str())?;
-        let (name, own) = (Rc::clone(name), service.own.clone());
-        let own = own.unwrap_or_else(|| Rc::new(Scope::of(vec![Rc::clone(&name)])));
+        let (name, own_scope) = (Rc::clone(name), service.own_scope.clone());
+        let own_scope = own_scope.unwrap_or_else(|| Rc::new(Scope::new(vec![Rc::clone(&name)])));
         if let Some(service) = self.services.get_mut(&name) {
-            service.own = Some(Rc::clone(&own));
+            service.own_scope = Some(Rc::clone(&own_scope));
         }
-        Some(own)
+        Some(own_scope)
     }
 
-    /// Takes in an answer of the source, which the session has found sound, and wakes whom it concerns.
-    pub fn take(&mut self, update: Update, now: Duration) -> ApplyOutcome {
-        let Update { index, whole, entries, .. } = update;
-        // Guards against a source that has lost its list: nobody is told of a removal that is said but once.
-        if whole && !self.doubted && self.shrinks(&entries) {
-            self.doubted = true;
+    /// Applies a response that the session has accepted, and notifies the watchers of the scopes that it
+    /// changes.
+    pub fn apply(&mut self, update: Update, now: Duration) -> ApplyOutcome {
+        let Update { index, full_snapshot, entries, .. } = update;
+        // A source that has lost its list sends a snapshot without most endpoints. Passing it on at once
+        // would make the whole fleet lose its endpoints, so a second snapshot has to confirm it first.
+        if full_snapshot && !self.awaits_confirmation && self.is_suspicious_shrink(&entries) {
+            self.awaits_confirmation = true;
             return ApplyOutcome::AwaitingConfirmation;
         }
-        if whole {
-            self.doubted = false;
+        if full_snapshot {
+            self.awaits_confirmation = false;
         }
-        let held = self.index.replace(index);
-        if let Some(held) = held.filter(|held| index < *held) {
-            self.set_back(held, index, now);
+        let previous = self.index.replace(index);
+        if let Some(previous) = previous.filter(|previous| index < *previous) {
+            self.reset_version(previous, index, now);
         }
-        let mut concerned = Concerned::default();
-        if whole {
-            self.absent_are_gone(&entries, index, now, &mut concerned);
+        let mut affected = Affected::default();
+        if full_snapshot {
+            self.remove_absent(&entries, index, now, &mut affected);
         }
         let mut changed = 0;
         for entry in entries {
-            changed += usize::from(self.put(entry, index, now, &mut concerned));
+            changed += usize::from(self.put(entry, index, now, &mut affected));
         }
-        if held.is_none() {
-            // What came before the first list is not known.
-            self.everything.begin(index);
-            self.services.values_mut().for_each(|service| service.log.begin(index));
+        if previous.is_none() {
+            // Changes before the first list are not known.
+            self.all_services.limit_history(index);
+            self.services.values_mut().for_each(|service| service.log.limit_history(index));
         }
-        changed += concerned.gone;
-        if changed > 0 || held.is_none() {
-            self.wake(&concerned);
+        changed += affected.removed;
+        if changed > 0 || previous.is_none() {
+            self.notify(&affected);
         }
         ApplyOutcome::Changed(changed)
     }
 
-    fn shrinks(&self, entries: &[Entry]) -> bool {
-        let stay = entries.iter().filter(|entry| !entry.gone && self.everything.has(&entry.name)).count();
-        let gone = self.listed.saturating_sub(stay);
-        gone >= MIN_SUSPICIOUS_SHRINK && gone > self.listed / SUSPICIOUS_SHRINK_FACTOR
+    fn is_suspicious_shrink(&self, entries: &[Entry]) -> bool {
+        let remaining = entries
+            .iter()
+            .filter(|entry| !entry.is_removed && self.all_services.is_listed(&entry.name))
+            .count();
+        let removed = self.endpoint_count.saturating_sub(remaining);
+        removed >= MIN_SUSPICIOUS_SHRINK && removed > self.endpoint_count / SUSPICIOUS_SHRINK_FACTOR
     }
 
-    /// All that is held counts as changed at `index`: versions up to `held` mean something else by now.
-    fn set_back(&mut self, held: u64, index: u64, now: Duration) {
-        self.before_set_back = self.before_set_back.max(Some(held));
-        self.everything.renumber(index);
+    /// Handles a source that was reset from version `previous` to the lower version `index`. Versions up to
+    /// `previous` can no longer be compared, so every entry counts as changed at `index`.
+    fn reset_version(&mut self, previous: u64, index: u64, now: Duration) {
+        self.max_index_before_reset = self.max_index_before_reset.max(Some(previous));
+        self.all_services.renumber(index);
         self.services.values_mut().for_each(|service| service.log.renumber(index));
-        self.whole.changed();
+        self.full_scope.notify_changed();
         for service in self.services.values() {
-            service.own.iter().chain(&service.scopes).for_each(|scope| scope.changed());
+            service.own_scope.iter().chain(&service.scopes).for_each(|scope| scope.notify_changed());
         }
-        self.forget(now);
+        self.expire_tombstones(now);
     }
 
-    /// Whoever a whole list does not name is gone.
-    fn absent_are_gone(&mut self, entries: &[Entry], index: u64, now: Duration, concerned: &mut Concerned) {
-        let named: HashSet<&str> = entries.iter().map(|entry| &*entry.name).collect();
-        let absent = self.everything.listed().filter(|entry| !named.contains(&*entry.name));
-        let absent: Vec<Entry> = absent.map(Entry::deleted).collect();
-        concerned.gone = absent.len();
+    /// Removes every endpoint that a full snapshot does not contain.
+    fn remove_absent(&mut self, entries: &[Entry], index: u64, now: Duration, affected: &mut Affected) {
+        let present: HashSet<&str> = entries.iter().map(|entry| &*entry.name).collect();
+        let absent = self.all_services.listed().filter(|entry| !present.contains(&*entry.name));
+        let absent: Vec<Entry> = absent.map(Entry::tombstone).collect();
+        affected.removed = absent.len();
         for entry in absent {
-            self.put(entry, index, now, concerned);
+            self.put(entry, index, now, affected);
         }
     }
 
-    /// Whether it says anything new.
-    fn put(&mut self, entry: Entry, index: u64, now: Duration, concerned: &mut Concerned) -> bool {
-        let held = self.everything.get(&entry.name);
-        let was = held.is_some_and(|held| !held.gone);
-        let same = held.is_some_and(|held| held.says_the_same(&entry));
-        // Who has never heard of it needs not hear that it is gone.
-        if same || (entry.gone && held.is_none()) {
+    /// Adds or updates an entry. Returns whether that changes anything.
+    fn put(&mut self, entry: Entry, index: u64, now: Duration, affected: &mut Affected) -> bool {
+        let current = self.all_services.get(&entry.name);
+        let was_listed = current.is_some_and(|current| !current.is_removed);
+        let is_same = current.is_some_and(|current| current.is_equivalent(&entry));
+        // The removal of an unknown endpoint is of no interest to anyone.
+        if is_same || (entry.is_removed && current.is_none()) {
             return false;
         }
-        self.listed = self.listed + usize::from(!entry.gone) - usize::from(was);
+        self.endpoint_count = self.endpoint_count + usize::from(!entry.is_removed) - usize::from(was_listed);
         if !self.services.contains_key(&entry.service) {
-            let scopes = self.holding.get(&entry.service).cloned().unwrap_or_default();
+            let scopes = self.scopes_by_service.get(&entry.service).cloned().unwrap_or_default();
             let mut log = Log::default();
-            // Names that it had once may have been dropped since.
-            log.begin(self.everything.begins());
-            let service = Service { log, own: None, scopes };
+            // The service may have had endpoints before, whose tombstones have been dropped.
+            log.limit_history(self.all_services.history_start());
+            let service = Service { log, own_scope: None, scopes };
             self.services.insert(Rc::clone(&entry.service), service);
         }
         if let Some(service) = self.services.get_mut(&entry.service) {
-            concerned.services.insert(Rc::clone(&entry.service));
+            affected.services.insert(Rc::clone(&entry.service));
             service.log.put(entry.clone(), index, now);
         }
-        self.everything.put(entry, index, now);
+        self.all_services.put(entry, index, now);
         true
     }
 
-    fn wake(&self, concerned: &Concerned) {
-        self.whole.changed();
-        for service in concerned.services.iter().filter_map(|name| self.services.get(name)) {
-            service.own.iter().chain(&service.scopes).for_each(|scope| scope.changed());
+    fn notify(&self, affected: &Affected) {
+        self.full_scope.notify_changed();
+        for service in affected.services.iter().filter_map(|name| self.services.get(name)) {
+            service.own_scope.iter().chain(&service.scopes).for_each(|scope| scope.notify_changed());
         }
     }
 
-    /// Drops the names that have been gone for long, and the services that have none left.
-    pub fn forget(&mut self, now: Duration) {
-        let keep = self.keep;
-        let dropped: Vec<Rc<str>> =
-            self.services.values_mut().flat_map(|service| service.log.forget(keep, now)).collect();
-        dropped.iter().for_each(|name| self.everything.drop_gone(name));
-        // Who still watches a service that nothing is left of hears of it when it comes back.
-        let watched = |own: &Rc<Scope>| own.watched().0 > 0;
-        self.services.retain(|_, service| service.log.len() > 0 || service.own.as_ref().is_some_and(watched));
+    /// Drops tombstones beyond the retention, and services of which nothing is left.
+    pub fn expire_tombstones(&mut self, now: Duration) {
+        let retention = self.retention;
+        let dropped: Vec<Rc<str>> = self
+            .services
+            .values_mut()
+            .flat_map(|service| service.log.expire_tombstones(retention, now))
+            .collect();
+        dropped.iter().for_each(|name| self.all_services.drop_tombstone(name));
+        // An empty service is kept while it is watched, so that its watchers are notified when it returns.
+        let is_watched = |scope: &Rc<Scope>| scope.watchers_and_encodings().0 > 0;
+        self.services
+            .retain(|_, service| service.log.len() > 0 || service.own_scope.as_ref().is_some_and(is_watched));
     }
 
-    /// What a caller that holds version `after` is told; one that holds nothing is told all.
-    pub fn tell(&self, scope: &Scope, after: Option<u64>) -> CatalogAnswer {
-        let Some(index) = self.index else { return CatalogAnswer::Behind };
+    /// The response for a downstream that has version `after`, or no list at all.
+    pub fn list_after(&self, scope: &Scope, after: Option<u64>) -> CatalogResponse {
+        let Some(index) = self.index else { return CatalogResponse::Behind };
         let after = match after {
-            // Versions from before the source was set back mean nothing here.
-            Some(after) if after > index && self.before_set_back.is_some_and(|most| after <= most) => None,
-            Some(after) if after > index => return CatalogAnswer::Behind,
+            // A version from before the source was reset cannot be compared: this needs a full snapshot.
+            Some(after) if after > index && self.max_index_before_reset.is_some_and(|max| after <= max) => {
+                None
+            }
+            Some(after) if after > index => return CatalogResponse::Behind,
             after => after,
         };
         let logs = self.logs(scope);
-        // A service that nothing is left of may have had names that were dropped since.
-        let known = scope.services().is_none_or(|services| services.len() == logs.len());
-        let begins =
-            logs.iter().map(|log| log.begins()).chain((!known).then(|| self.everything.begins())).max();
-        let rest = scope.told(after, begins.unwrap_or(0), &logs);
-        rest.map_or(CatalogAnswer::Nothing, |rest| CatalogAnswer::News(EncodedList { index, rest }))
+        // A service without a log may have had endpoints before, whose tombstones have been dropped.
+        let has_all_logs = scope.services().is_none_or(|services| services.len() == logs.len());
+        let history_start = logs
+            .iter()
+            .map(|log| log.history_start())
+            .chain((!has_all_logs).then(|| self.all_services.history_start()))
+            .max();
+        let tail = scope.encode(after, history_start.unwrap_or(0), &logs);
+        tail.map_or(CatalogResponse::Unchanged, |tail| CatalogResponse::List(EncodedList { index, tail }))
     }
 
     fn logs<'a>(&'a self, scope: &Scope) -> Vec<&'a Log> {
         match scope.services() {
-            None => vec![&self.everything],
+            None => vec![&self.all_services],
             Some(services) => {
                 services.iter().filter_map(|name| Some(&self.services.get(name)?.log)).collect()
             }
@@ -384,11 +412,11 @@
     }
 }
 
-/// Whom an answer of the source concerns.
+/// What an update has changed.
 #[derive(Default)]
-struct Concerned {
+struct Affected {
     services: HashSet<Rc<str>>,
-    gone: usize,
+    removed: usize,
 }
 
 #[cfg(test)]
--- a/discovery-relay/src/catalog/log.rs
+++ b/discovery-relay/src/catalog/log.rs
@@ -1,4 +1,4 @@
-//! A compacted log: each name once, at the version of its last change.
+//! A compacted change log: each endpoint once, at the version of its last change.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Bound;
@@ -7,103 +7,105 @@
 
 use super::{Entry, TombstoneRetention};
 
-/// A place in a log: a version, and the order within it.
+/// A position in the log: a version, and the order of changes within it.
 pub(super) type Position = (u64, u64);
 
 /// See the module documentation.
 #[derive(Default)]
 pub(super) struct Log {
-    /// Who asks from before this version gets the whole list.
-    begins: u64,
+    /// All changes after this version are known. For an earlier version only a full snapshot is correct.
+    history_start: u64,
     by_position: BTreeMap<Position, Entry>,
-    /// Where each name stands.
-    names: HashMap<Rc<str>, Position>,
-    /// Names that are gone, in the order in which they went, and when.
-    gone: BTreeMap<Position, Duration>,
-    next: u64,
+    /// The position of each endpoint, by name.
+    positions: HashMap<Rc<str>, Position>,
+    /// The positions of removed endpoints, in the order of their removal, and when they were removed.
+    tombstones: BTreeMap<Position, Duration>,
+    last_sequence: u64,
 }
 
 impl Log {
-    /// What was before this version is not known here.
-    pub(super) fn begin(&mut self, index: u64) {
-        self.begins = self.begins.max(index);
+    /// Changes up to this version may be missing from the log.
+    pub(super) fn limit_history(&mut self, index: u64) {
+        self.history_start = self.history_start.max(index);
     }
 
-    /// From which version on all changes are known.
-    pub(super) fn begins(&self) -> u64 {
-        self.begins
+    /// The version after which all changes are known.
+    pub(super) fn history_start(&self) -> u64 {
+        self.history_start
     }
 
     pub(super) fn len(&self) -> usize {
         self.by_position.len()
     }
 
-    /// Whether it is listed: named, and not gone.
-    pub(super) fn has(&self, name: &str) -> bool {
-        self.get(name).is_some_and(|entry| !entry.gone)
+    /// Whether an endpoint is listed, that is, known and not removed.
+    pub(super) fn is_listed(&self, name: &str) -> bool {
+        self.get(name).is_some_and(|entry| !entry.is_removed)
     }
 
     pub(super) fn get(&self, name: &str) -> Option<&Entry> {
-        self.by_position.get(self.names.get(name)?)
+        self.by_position.get(self.positions.get(name)?)
     }
 
     pub(super) fn listed(&self) -> impl Iterator<Item = &Entry> {
-        self.by_position.values().filter(|entry| !entry.gone)
+        self.by_position.values().filter(|entry| !entry.is_removed)
     }
 
     pub(super) fn put(&mut self, entry: Entry, index: u64, now: Duration) {
-        self.next += 1;
-        let position = (index, self.next);
-        if let Some(old) = self.names.insert(Rc::clone(&entry.name), position) {
-            self.by_position.remove(&old);
-            self.gone.remove(&old);
+        self.last_sequence += 1;
+        let position = (index, self.last_sequence);
+        if let Some(previous) = self.positions.insert(Rc::clone(&entry.name), position) {
+            self.by_position.remove(&previous);
+            self.tombstones.remove(&previous);
         }
-        if entry.gone {
-            self.gone.insert(position, now);
+        if entry.is_removed {
+            self.tombstones.insert(position, now);
         }
         self.by_position.insert(position, entry);
     }
 
-    /// All counts as changed at this version; what is gone is forgotten.
+    /// Moves all entries to this version, so that each counts as changed there, and drops the tombstones.
     pub(super) fn renumber(&mut self, index: u64) {
         let entries = std::mem::take(&mut self.by_position);
-        (self.names, self.gone) = Default::default();
-        for entry in entries.into_values().filter(|entry| !entry.gone) {
+        (self.positions, self.tombstones) = Default::default();
+        for entry in entries.into_values().filter(|entry| !entry.is_removed) {
             self.put(entry, index, Duration::ZERO);
         }
-        self.begins = index;
+        self.history_start = index;
     }
 
-    /// Drops what has been gone for too long, or is too many; gives the names.
-    pub(super) fn forget(&mut self, keep: TombstoneRetention, now: Duration) -> Vec<Rc<str>> {
+    /// Drops tombstones that are too old or too many. Returns their names.
+    pub(super) fn expire_tombstones(&mut self, retention: TombstoneRetention, now: Duration) -> Vec<Rc<str>> {
         let mut dropped = Vec::new();
-        while let Some((&position, &went)) = self.gone.first_key_value() {
-            if self.gone.len() <= keep.most && went + keep.long > now {
+        while let Some((&position, &removed_at)) = self.tombstones.first_key_value() {
+            if self.tombstones.len() <= retention.max_per_service && removed_at + retention.max_age > now {
                 break;
             }
-            self.gone.remove(&position);
+            self.tombstones.remove(&position);
             if let Some(entry) = self.by_position.remove(&position) {
-                self.names.remove(&entry.name);
+                self.positions.remove(&entry.name);
                 dropped.push(entry.name);
             }
-            self.begins = self.begins.max(position.0);
+            self.history_start = self.history_start.max(position.0);
         }
         dropped
     }
 
-    /// Drops a name that is gone.
-    pub(super) fn drop_gone(&mut self, name: &str) {
-        let Some(&position) = self.names.get(name).filter(|position| self.gone.contains_key(position)) else {
+    /// Drops the tombstone of an endpoint, if it has one.
+    pub(super) fn drop_tombstone(&mut self, name: &str) {
+        let Some(&position) =
+            self.positions.get(name).filter(|position| self.tombstones.contains_key(position))
+        else {
             return;
         };
-        self.names.remove(name);
+        self.positions.remove(name);
         self.by_position.remove(&position);
-        self.gone.remove(&position);
-        self.begins = self.begins.max(position.0);
+        self.tombstones.remove(&position);
+        self.history_start = self.history_start.max(position.0);
     }
 
-    /// What changed after this version, in order.
-    pub(super) fn since(&self, after: u64) -> impl Iterator<Item = (&Position, &Entry)> {
+    /// The changes after this version, in order.
+    pub(super) fn changes_after(&self, after: u64) -> impl Iterator<Item = (&Position, &Entry)> {
         self.by_position.range((Bound::Excluded((after, u64::MAX)), Bound::Unbounded))
     }
 }
--- a/discovery-relay/src/catalog/scope.rs
+++ b/discovery-relay/src/catalog/scope.rs
@@ -1,5 +1,5 @@
-//! A part of the list that is asked for as one: the services it holds, what its watchers are told, and whom
-//! to wake.
+//! A set of services whose endpoints are served as one list: the encoded responses for its watchers, and the
+//! means to notify them.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,96 +9,102 @@
 
 use super::log::Log;
 
-/// Answers that are kept encoded: watchers of one scope hold few different versions.
-const KEPT_MOST: usize = 16;
+/// The maximum number of encoded change lists kept per scope: the watchers of one scope have only a few
+/// different versions.
+const MAX_CACHED_CHANGE_LISTS: usize = 16;
 
 /// See the module documentation.
 #[derive(Debug)]
 pub struct Scope {
-    /// Nothing: all of them.
+    /// `None` for all services.
     services: Option<Vec<Rc<str>>>,
-    /// Counts its changes.
-    news: watch::Sender<u64>,
+    /// The number of changes so far.
+    changes: watch::Sender<u64>,
     encoded: RefCell<Encoded>,
 }
 
 /// What was encoded since the last change.
 #[derive(Debug, Default)]
 struct Encoded {
-    whole: Option<Bytes>,
-    /// By the version of the first change that each tells: what lies between it and the caller's is nothing.
-    since: Vec<(u64, Bytes)>,
-    /// How often something was encoded, of all time.
-    count: u64,
+    full_snapshot: Option<Bytes>,
+    /// Change lists by the version of the first change in them. Any two watchers whose next change is the
+    /// same share one, whatever version each of them has.
+    change_lists: Vec<(u64, Bytes)>,
+    /// How many lists were encoded in total.
+    encodings: u64,
 }
 
 impl Scope {
-    pub(super) fn of(services: Vec<Rc<str>>) -> Scope {
-        Scope { services: Some(services), news: watch::Sender::new(0), encoded: RefCell::default() }
+    pub(super) fn new(services: Vec<Rc<str>>) -> Scope {
+        Scope { services: Some(services), changes: watch::Sender::new(0), encoded: RefCell::default() }
     }
 
-    pub(super) fn everything() -> Scope {
-        Scope { services: None, news: watch::Sender::new(0), encoded: RefCell::default() }
+    pub(super) fn all_services() -> Scope {
+        Scope { services: None, changes: watch::Sender::new(0), encoded: RefCell::default() }
     }
 
     pub(super) fn services(&self) -> Option<&[Rc<str>]> {
         self.services.as_deref()
     }
 
-    /// Wakes whoever watches; what was encoded is old.
-    pub(super) fn changed(&self) {
+    /// Drops the encoded lists and notifies the watchers.
+    pub(super) fn notify_changed(&self) {
         let mut encoded = self.encoded.borrow_mut();
-        (encoded.whole, encoded.since) = (None, Vec::new());
-        self.news.send_modify(|count| *count += 1);
+        (encoded.full_snapshot, encoded.change_lists) = (None, Vec::new());
+        self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Turns new with each change.
-    pub fn news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    /// Notified of each change.
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
+        self.changes.subscribe()
     }
 
-    /// How many watch, and how often something was encoded for them.
-    pub fn watched(&self) -> (usize, u64) {
-        (self.news.receiver_count(), self.encoded.borrow().count)
+    /// The number of watchers, and how many lists were encoded for them in total.
+    pub fn watchers_and_encodings(&self) -> (usize, u64) {
+        (self.changes.receiver_count(), self.encoded.borrow().encodings)
     }
 
-    /// What is newer than version `after`, or all; nothing where nothing is. What came before version
-    /// `begins` is not known.
-    pub(super) fn told(&self, after: Option<u64>, begins: u64, logs: &[&Log]) -> Option<Bytes> {
+    /// The encoded changes after version `after`, or `None` if there are none. A full snapshot if `after` is
+    /// `None` or earlier than `history_start`, up to which changes may be missing from the logs.
+    pub(super) fn encode(&self, after: Option<u64>, history_start: u64, logs: &[&Log]) -> Option<Bytes> {
         let mut encoded = self.encoded.borrow_mut();
-        let Some(after) = after.filter(|after| *after >= begins) else {
-            if let Some(whole) = &encoded.whole {
-                return Some(whole.clone());
+        let Some(after) = after.filter(|after| *after >= history_start) else {
+            if let Some(full_snapshot) = &encoded.full_snapshot {
+                return Some(full_snapshot.clone());
             }
-            let whole = write(true, logs.iter().flat_map(|log| log.listed()).map(|entry| &entry.text));
-            encoded.count += 1;
-            encoded.whole = Some(whole.clone());
-            return Some(whole);
+            let full_snapshot =
+                encode_entries(true, logs.iter().flat_map(|log| log.listed()).map(|entry| &entry.json));
+            encoded.encodings += 1;
+            encoded.full_snapshot = Some(full_snapshot.clone());
+            return Some(full_snapshot);
         };
-        let first =
-            logs.iter().filter_map(|log| log.since(after).next()).map(|((index, _), _)| *index).min()?;
-        if let Some((_, kept)) = encoded.since.iter().find(|(index, _)| *index == first) {
-            return Some(kept.clone());
+        let first = logs
+            .iter()
+            .filter_map(|log| log.changes_after(after).next())
+            .map(|((index, _), _)| *index)
+            .min()?;
+        if let Some((_, cached)) = encoded.change_lists.iter().find(|(index, _)| *index == first) {
+            return Some(cached.clone());
         }
-        let changes = logs.iter().flat_map(|log| log.since(after)).map(|(_, entry)| &entry.text);
-        let changes = write(false, changes);
-        encoded.count += 1;
-        if encoded.since.len() < KEPT_MOST {
-            encoded.since.push((first, changes.clone()));
+        let changes = logs.iter().flat_map(|log| log.changes_after(after)).map(|(_, entry)| &entry.json);
+        let changes = encode_entries(false, changes);
+        encoded.encodings += 1;
+        if encoded.change_lists.len() < MAX_CACHED_CHANGE_LISTS {
+            encoded.change_lists.push((first, changes.clone()));
         }
         Some(changes)
     }
 }
 
-/// All of an answer but its version.
-fn write<'a>(whole: bool, entries: impl Iterator<Item = &'a Bytes>) -> Bytes {
-    let mut text = BytesMut::from(format!("\"snapshot\":{whole},\"endpoints\":[").as_bytes());
+/// Encodes a response body without its version.
+fn encode_entries<'a>(full_snapshot: bool, entries: impl Iterator<Item = &'a Bytes>) -> Bytes {
+    let mut json = BytesMut::from(format!("\"snapshot\":{full_snapshot},\"endpoints\":[").as_bytes());
     for (n, entry) in entries.enumerate() {
         if n > 0 {
-            text.extend_from_slice(b",");
+            json.extend_from_slice(b",");
         }
-        text.extend_from_slice(entry);
+        json.extend_from_slice(entry);
     }
-    text.extend_from_slice(b"]}");
-    text.freeze()
+    json.extend_from_slice(b"]}");
+    json.freeze()
 }
--- a/discovery-relay/src/config.rs
+++ b/discovery-relay/src/config.rs
@@ -1,4 +1,4 @@
-//! What a relay is told at its start: one TOML file.
+//! The relay's configuration: one TOML file, read at the start.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,61 +8,63 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Why a relay cannot start; each reads as one line that names the key.
+/// Why the configuration is not usable. Each error is one line that names the file and the key.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file cannot be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// As given.
+        /// As given on the command line.
         path: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A key is unknown, missing, of the wrong form or out of range.
+    /// A key is unknown, missing, malformed or out of range.
     #[error("{path}: {key}: {problem}")]
     Key {
-        /// As given.
+        /// As given on the command line.
         path: PathBuf,
-        /// Its table and name, or its line.
+        /// The key with its table, or the line if the file is not valid TOML.
         key: String,
         /// What is wrong.
         problem: String,
     },
 }
 
-/// The file.
+/// The configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Where callers connect.
+    /// The address on which downstreams connect.
     pub listen: SocketAddr,
-    /// Who calls it by an address gets the whole list: for relays below this one.
-    #[serde(default)]
-    pub whole: bool,
-    /// Connections of callers that are held at once.
-    #[serde(default = "connections")]
-    pub connections: usize,
-    /// Whom it asks.
+    /// Whether a request whose `Host` is an IP address gets the list of all services. Needed if other relays
+    /// poll this one.
+    #[serde(default, rename = "whole")]
+    pub serves_full_list: bool,
+    /// The maximum number of downstream connections.
+    #[serde(default = "default_max_connections", rename = "connections")]
+    pub max_connections: usize,
+    /// Where the relay gets the list from.
     pub source: Source,
-    /// The services of each scope. A service that stands alone needs none.
+    /// The services of each scope, by the scope's name. A service on its own needs no entry.
     #[serde(default)]
     pub scopes: BTreeMap<String, Vec<String>>,
 }
 
-/// `[source]`: discovery, or relays that hold the whole list. All tell the same versions.
+/// The table `[source]`: addresses of discovery, or of relays that serve the list of all services. All of
+/// them must serve the same versions.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Source {
-    /// Asked first.
+    /// Polled first.
     #[serde(default)]
     pub near: Vec<SocketAddr>,
-    /// Asked where no near one answers.
+    /// Polled if no near source responds.
     #[serde(default)]
     pub far: Vec<SocketAddr>,
 }
 
-fn connections() -> usize {
+fn default_max_connections() -> usize {
     4096
 }
 
@@ -70,7 +72,7 @@
     /// Reads the file.
     ///
     /// # Errors
-    /// Names the file, and the key with the reason.
+    /// If the file cannot be read or is not a valid configuration.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         match fs::read_to_string(path) {
             Ok(text) => Config::parse(path, &text),
@@ -79,23 +81,23 @@
     }
 
     fn parse(path: &Path, text: &str) -> Result<Config, ConfigError> {
-        let wrong = |key: &str, problem: &str| ConfigError::Key {
+        let key_error = |key: &str, problem: &str| ConfigError::Key {
             path: path.to_owned(),
             key: key.to_owned(),
             problem: problem.to_owned(),
         };
         let config: Config = toml::from_str(text).map_err(|error| {
             let before = error.span().map_or("", |span| &text[..span.start]);
-            wrong(&format!("line {}", before.matches('\n').count() + 1), error.message())
+            key_error(&format!("line {}", before.matches('\n').count() + 1), error.message())
         })?;
         if config.source.near.is_empty() && config.source.far.is_empty() {
-            return Err(wrong("source.near", "names nobody to ask"));
+            return Err(key_error("source.near", "no source address given"));
         }
-        if config.connections == 0 {
-            return Err(wrong("connections", "is 0"));
+        if config.max_connections == 0 {
+            return Err(key_error("connections", "must not be 0"));
         }
         if let Some((name, _)) = config.scopes.iter().find(|(_, services)| services.is_empty()) {
-            return Err(wrong(&format!("scopes.{name}"), "names no service"));
+            return Err(key_error(&format!("scopes.{name}"), "lists no services"));
         }
         Ok(config)
     }
--- a/discovery-relay/src/connection_limiter.rs
+++ b/discovery-relay/src/connection_limiter.rs
@@ -1,4 +1,5 @@
-//! The connections that a relay holds, and which of them makes room: the one that has rested for longest.
+//! Limits the number of downstream connections. At the limit, the connection that has been idle for longest
+//! is closed to admit a new one.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,79 +7,79 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// The connections that are held.
+/// Counts the open connections and knows which of them are idle.
 #[derive(Default)]
 pub struct ConnectionLimiter {
-    most: usize,
+    max_connections: usize,
     open: Cell<usize>,
-    next: Cell<u64>,
-    /// Those without a request, by since when.
-    resting: RefCell<BTreeMap<(Instant, u64), CancellationToken>>,
+    last_number: Cell<u64>,
+    /// Connections without a request in flight, by when they became idle.
+    idle: RefCell<BTreeMap<(Instant, u64), CancellationToken>>,
 }
 
 impl ConnectionLimiter {
-    /// None yet, and at most so many.
-    pub fn new(most: usize) -> ConnectionLimiter {
-        ConnectionLimiter { most, ..ConnectionLimiter::default() }
+    /// Starts without connections.
+    pub fn new(max_connections: usize) -> ConnectionLimiter {
+        ConnectionLimiter { max_connections, ..ConnectionLimiter::default() }
     }
 
-    /// Whether one more is one too many.
+    /// Whether the limit is reached.
     pub fn is_full(&self) -> bool {
-        self.open.get() >= self.most
+        self.open.get() >= self.max_connections
     }
 
-    /// Whether none is held.
-    pub fn are_gone(&self) -> bool {
+    /// Whether no connection is open.
+    pub fn is_empty(&self) -> bool {
         self.open.get() == 0
     }
 
-    /// Closes the one that has rested for longest; whether there was one.
-    pub fn close_one(&self) -> bool {
-        let longest = self.resting.borrow_mut().pop_first();
-        longest.map(|(_, closed)| closed.cancel()).is_some()
+    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    pub fn close_longest_idle(&self) -> bool {
+        let longest_idle = self.idle.borrow_mut().pop_first();
+        longest_idle.map(|(_, close)| close.cancel()).is_some()
     }
 }
 
 /// One connection.
 pub struct TrackedConnection {
     number: u64,
-    since: Cell<Instant>,
-    closed: CancellationToken,
+    idle_since: Cell<Instant>,
+    close: CancellationToken,
 }
 
 impl TrackedConnection {
-    /// Held from now on, and idle.
-    pub fn new(callers: &ConnectionLimiter) -> TrackedConnection {
-        callers.open.set(callers.open.get() + 1);
-        callers.next.set(callers.next.get() + 1);
-        let caller = TrackedConnection {
-            number: callers.next.get(),
-            since: Cell::new(Instant::now()),
-            closed: CancellationToken::new(),
+    /// Counts a new connection, which is idle at first.
+    pub fn new(limiter: &ConnectionLimiter) -> TrackedConnection {
+        limiter.open.set(limiter.open.get() + 1);
+        limiter.last_number.set(limiter.last_number.get() + 1);
+        let connection = TrackedConnection {
+            number: limiter.last_number.get(),
+            idle_since: Cell::new(Instant::now()),
+            close: CancellationToken::new(),
         };
-        caller.rests(callers);
-        caller
+        connection.set_idle(limiter);
+        connection
     }
 
-    /// Has a request.
-    pub fn works(&self, callers: &ConnectionLimiter) {
-        callers.resting.borrow_mut().remove(&(self.since.get(), self.number));
+    /// A request is in flight from now on.
+    pub fn set_busy(&self, limiter: &ConnectionLimiter) {
+        limiter.idle.borrow_mut().remove(&(self.idle_since.get(), self.number));
     }
 
-    /// Has none.
-    pub fn rests(&self, callers: &ConnectionLimiter) {
-        self.since.set(Instant::now());
-        callers.resting.borrow_mut().insert((self.since.get(), self.number), self.closed.clone());
+    /// No request is in flight any more.
+    pub fn set_idle(&self, limiter: &ConnectionLimiter) {
+        self.idle_since.set(Instant::now());
+        limiter.idle.borrow_mut().insert((self.idle_since.get(), self.number), self.close.clone());
     }
 
-    /// Is no longer held.
-    pub fn gone(&self, callers: &ConnectionLimiter) {
-        self.works(callers);
-        callers.open.set(callers.open.get() - 1);
+    /// The connection is closed and no longer counts.
+    pub fn release(&self, limiter: &ConnectionLimiter) {
+        self.set_busy(limiter);
+        limiter.open.set(limiter.open.get() - 1);
     }
 
-    /// Ready when it has to make room.
-    pub async fn closed(&self) {
-        self.closed.cancelled().await;
+    /// Resolves when the limiter wants the connection to be closed.
+    pub async fn close_requested(&self) {
+        self.close.cancelled().await;
     }
 }
--- a/discovery-relay/src/main.rs
+++ b/discovery-relay/src/main.rs
@@ -1,4 +1,5 @@
-//! discovery-relay: stands between discovery and its callers. See docs/relays.md.
+//! discovery-relay: distributes the endpoint list from discovery to client proxies and other relays. See
+//! docs/relays.md.
 #![forbid(unsafe_code)]
 
 mod catalog;
@@ -31,20 +32,22 @@
 use crate::downstream::Downstream;
 use crate::upstream::Upstream;
 
-/// Names that are gone are told for so long to who was away, and so many a service.
+/// How many removed endpoints are remembered, and for how long, so that a downstream that was away can still
+/// be sent only the changes.
 const TOMBSTONE_RETENTION: TombstoneRetention =
-    TombstoneRetention { most: 4096, long: Duration::from_secs(600) };
-/// Callers that the system takes in before the relay does: all of another relay may come within half a
-/// second, while a change is being written. The system may allow fewer.
+    TombstoneRetention { max_per_service: 4096, max_age: Duration::from_secs(600) };
+/// Connections that the kernel may queue before the relay accepts them: all downstreams of another relay may
+/// connect within half a second while the relay is busy sending a change. The kernel may allow fewer.
 const ACCEPT_BACKLOG: u32 = 4096;
-/// Who waits is sent on within a second; then this much is left for slow callers.
+/// Open watches are answered within the first second of the shutdown; the rest is left for downstreams that
+/// read slowly.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Stands between discovery and its callers.
+/// Distributes the endpoint list from discovery to client proxies and other relays.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// The configuration, TOML.
+    /// The configuration file, in TOML.
     #[arg(long)]
     config: PathBuf,
 }
@@ -57,11 +60,11 @@
             return ExitCode::from(2);
         }
     };
-    let ended = tokio::runtime::Builder::new_current_thread()
+    let result = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .and_then(|runtime| LocalSet::new().block_on(&runtime, run(config)));
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("relay: {error}");
@@ -77,38 +80,44 @@
     let mut rng = Pcg32::seed_from_u64(seed(bound.port()));
     let catalog = Rc::new(RefCell::new(Catalog::new(TOMBSTONE_RETENTION, config.scopes)));
     let sources = Sources::new(&config.source.near, &config.source.far, &mut rng);
-    let sources = sources.ok_or_else(|| std::io::Error::other("source: names nobody to ask"))?;
+    let sources = sources.ok_or_else(|| std::io::Error::other("source: no address given"))?;
     let upstream = Upstream::new(Rc::clone(&catalog), sources, rng.clone());
-    let leaving = CancellationToken::new();
-    let confirmed = upstream.confirmed();
-    let downstream =
-        Downstream::new(catalog, confirmed, config.whole, config.connections, rng, leaving.clone());
+    let shutdown = CancellationToken::new();
+    let confirmation = upstream.confirmation();
+    let downstream = Downstream::new(
+        catalog,
+        confirmation,
+        config.serves_full_list,
+        config.max_connections,
+        rng,
+        shutdown.clone(),
+    );
     spawn_local(upstream.run());
-    spawn_local(Rc::clone(&downstream).look_up());
+    spawn_local(Rc::clone(&downstream).track_source());
     let mut serving = spawn_local(downstream.serve(listener));
     eprintln!("relay: listens on {bound}");
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        ended = &mut serving => return ended.map_err(std::io::Error::other),
+        result = &mut serving => return result.map_err(std::io::Error::other),
     }
-    leaving.cancel();
+    shutdown.cancel();
     if timeout(SHUTDOWN_TIMEOUT, serving).await.is_err() {
-        eprintln!("relay: ends with callers that have not read their answers");
+        eprintln!("relay: shutdown timed out: closing connections with unfinished responses");
     }
     Ok(())
 }
 
-/// Takes callers in at that address.
+/// Listens on that address.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // Guards against a restart that the remains of the last process's connections hold up.
+    // Without this, connections of the previous process in TIME_WAIT make bind fail after a restart.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// For pauses alone: relays that start together need not draw the same.
+/// A seed for random delays, different for relays that start at the same moment.
 fn seed(port: u16) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     now.as_nanos() as u64 ^ u64::from(std::process::id()) << 32 ^ u64::from(port) << 16
--- a/discovery-relay/src/response_body.rs
+++ b/discovery-relay/src/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer in pieces: the version, and the rest that many answers share.
+//! A response body in two chunks: the version, and the rest, whose bytes many responses share.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -11,18 +11,18 @@
 
 /// See the module documentation.
 pub struct ResponseBody {
-    pieces: [Option<Bytes>; 2],
+    chunks: [Option<Bytes>; 2],
 }
 
 impl ResponseBody {
-    /// A list.
-    pub fn of(reply: EncodedList) -> ResponseBody {
-        ResponseBody { pieces: [Some(reply.head()), Some(reply.rest)] }
+    /// An endpoint list.
+    pub fn list(list: EncodedList) -> ResponseBody {
+        ResponseBody { chunks: [Some(list.head()), Some(list.tail)] }
     }
 
-    /// A reason.
+    /// The text of an error response.
     pub fn text(text: &'static str) -> ResponseBody {
-        ResponseBody { pieces: [None, Some(Bytes::from_static(text.as_bytes()))] }
+        ResponseBody { chunks: [None, Some(Bytes::from_static(text.as_bytes()))] }
     }
 }
 
@@ -34,15 +34,15 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        let next = self.pieces.iter_mut().find_map(Option::take);
-        Poll::Ready(next.map(|piece| Ok(Frame::data(piece))))
+        let next = self.chunks.iter_mut().find_map(Option::take);
+        Poll::Ready(next.map(|chunk| Ok(Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.pieces.iter().all(Option::is_none)
+        self.chunks.iter().all(Option::is_none)
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.pieces.iter().flatten().map(|piece| piece.len() as u64).sum())
+        SizeHint::with_exact(self.chunks.iter().flatten().map(|chunk| chunk.len() as u64).sum())
     }
 }
--- a/discovery-relay/src/stall_detection.rs
+++ b/discovery-relay/src/stall_detection.rs
@@ -1,5 +1,5 @@
-//! A connection whose peer has to read: one that takes nothing for a while is broken off, and a long answer
-//! keeps its turn until it is written.
+//! A connection that fails if its peer stops reading. Also holds the permit of a large response until all of
+//! the response is written.
 
 use std::cell::RefCell;
 use std::io;
@@ -13,42 +13,42 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Sleep, sleep};
 
-/// A peer that takes none of what is written to it for so long has ended for us.
+/// A write fails if the peer accepts no byte for this long.
 const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A place among those whose long answers are being written.
+/// Permits one large response to be written; their number is limited.
 pub type WritePermit = OwnedSemaphorePermit;
 
-/// What is being written on a connection.
+/// The response that is being written on a connection.
 #[derive(Default)]
 pub struct WriteProgress {
-    turn: RefCell<Option<WritePermit>>,
+    permit: RefCell<Option<WritePermit>>,
 }
 
 impl WriteProgress {
-    /// Given back once all is written, or with the connection.
-    pub fn hold(&self, turn: WritePermit) {
-        self.turn.replace(Some(turn));
+    /// Holds the permit until all of the response is written or the connection is dropped.
+    pub fn hold(&self, permit: WritePermit) {
+        self.permit.replace(Some(permit));
     }
 }
 
 /// See the module documentation.
 pub struct StallDetectingStream {
     stream: TcpStream,
-    watched: Rc<WriteProgress>,
-    stalled: Option<Pin<Box<Sleep>>>,
+    progress: Rc<WriteProgress>,
+    stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl StallDetectingStream {
-    /// Over a stream that is open.
-    pub fn new(stream: TcpStream, watched: Rc<WriteProgress>) -> StallDetectingStream {
-        StallDetectingStream { stream, watched, stalled: None }
+    /// Wraps a connected stream.
+    pub fn new(stream: TcpStream, progress: Rc<WriteProgress>) -> StallDetectingStream {
+        StallDetectingStream { stream, progress, stall_timer: None }
     }
 
-    /// Counts the time for which nothing is taken.
-    fn wait(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(STALL_TIMEOUT)));
-        match stalled.as_mut().poll(cx) {
+    /// Called while a write is pending. Fails once it has been pending for [`STALL_TIMEOUT`].
+    fn poll_stall_timer(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+        let stall_timer = self.stall_timer.get_or_insert_with(|| Box::pin(sleep(STALL_TIMEOUT)));
+        match stall_timer.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
@@ -68,9 +68,9 @@
 impl AsyncWrite for StallDetectingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         match Pin::new(&mut self.stream).poll_write(cx, bytes) {
-            Poll::Pending => self.wait(cx),
+            Poll::Pending => self.poll_stall_timer(cx),
             ready => {
-                self.stalled = None;
+                self.stall_timer = None;
                 ready
             }
         }
@@ -79,12 +79,12 @@
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        pieces: &[io::IoSlice<'_>],
+        slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        match Pin::new(&mut self.stream).poll_write_vectored(cx, pieces) {
-            Poll::Pending => self.wait(cx),
+        match Pin::new(&mut self.stream).poll_write_vectored(cx, slices) {
+            Poll::Pending => self.poll_stall_timer(cx),
             ready => {
-                self.stalled = None;
+                self.stall_timer = None;
                 ready
             }
         }
@@ -97,7 +97,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.stream).poll_flush(cx);
         if flushed.is_ready() {
-            self.watched.turn.take();
+            self.progress.permit.take();
         }
         flushed
     }
--- a/discovery-relay/src/upstream.rs
+++ b/discovery-relay/src/upstream.rs
@@ -1,4 +1,5 @@
-//! One watch on the source: answers into the catalog, and how old what is held may be.
+//! Polls the source, applies its responses to the catalog, and records when the catalog was last confirmed to
+//! be up to date.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,44 +16,45 @@
 
 use crate::catalog::{ApplyOutcome, Catalog, Update};
 
-/// A part of each call's time: a dial that takes longer is to a source that cannot be reached.
+/// Part of each poll's timeout: a source that takes longer to connect counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Guards against a source that answers without end what does not wait.
+/// The delay before the next poll if the source responds at once to a watch that it should hold open, or
+/// sends a response that is rejected. Without it, the relay would poll in a busy loop.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Before the same source is called again where a dial failed locally.
+/// The maximum backoff if connecting failed for a local reason; the same source is polled again then.
 const LOCAL_BACKOFF: Duration = Duration::from_millis(50);
-/// A list that takes out most of what is held has to be true for so long.
+/// The delay before the second poll that has to confirm a snapshot without most of the known endpoints.
 const CONFIRMATION_DELAY: Duration = Duration::from_millis(500);
-/// The whole list of the largest fleet is a tenth of this.
+/// The maximum length of a response body. The full snapshot of the largest fleet has a tenth of this.
 const MAX_LIST_LENGTH: usize = 64 * 1024 * 1024;
-/// How often what has been gone for long is dropped.
-const FORGET_INTERVAL: Duration = Duration::from_secs(1);
+/// How often expired tombstones are removed.
+const TOMBSTONE_EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// That the source had nothing newer than what is held.
+/// When the catalog was up to date with the source.
 #[derive(Clone, Debug)]
 pub struct Confirmation {
-    /// When.
+    /// By the local clock.
     pub at: Instant,
-    /// When by discovery's own clock, if discovery says so.
+    /// By discovery's own clock, if the response says so.
     pub date: Option<HeaderValue>,
 }
 
-/// The relay's own call to its source. See the module documentation.
+/// Polls the source for as long as the relay runs. See the module documentation.
 pub struct Upstream {
     catalog: Rc<RefCell<Catalog>>,
     sources: Sources,
     session: Session,
     rng: Pcg32,
-    /// The last one; nothing before the first list.
-    confirmed: watch::Sender<Option<Confirmation>>,
-    began: Instant,
-    link: Option<DiscoveryConnection>,
-    failing: bool,
-    forgot: Instant,
+    /// The last confirmation; `None` before the first list.
+    confirmation: watch::Sender<Option<Confirmation>>,
+    started: Instant,
+    connection: Option<DiscoveryConnection>,
+    is_failing: bool,
+    last_expiry: Instant,
 }
 
 impl Upstream {
-    /// Nothing is asked before [`Upstream::run`].
+    /// Does not poll before [`Upstream::run`].
     pub fn new(catalog: Rc<RefCell<Catalog>>, sources: Sources, rng: Pcg32) -> Upstream {
         let now = Instant::now();
         Upstream {
@@ -60,104 +62,104 @@
             sources,
             session: Session::new(PollTiming::RELAY, None),
             rng,
-            confirmed: watch::Sender::new(None),
-            began: now,
-            link: None,
-            failing: false,
-            forgot: now,
+            confirmation: watch::Sender::new(None),
+            started: now,
+            connection: None,
+            is_failing: false,
+            last_expiry: now,
         }
     }
 
-    /// The last confirmation by the source; nothing before the first list.
-    pub fn confirmed(&self) -> watch::Receiver<Option<Confirmation>> {
-        self.confirmed.subscribe()
+    /// The last time at which the catalog was up to date; `None` before the first list.
+    pub fn confirmation(&self) -> watch::Receiver<Option<Confirmation>> {
+        self.confirmation.subscribe()
     }
 
-    /// Follows the source for as long as the program runs.
+    /// Polls the source for as long as the relay runs.
     pub async fn run(mut self) {
         loop {
-            if let Err(error) = self.next().await {
-                let pause = self.failed(&error);
-                sleep(pause).await;
+            if let Err(error) = self.poll().await {
+                let backoff = self.on_failure(&error);
+                sleep(backoff).await;
             }
-            if self.forgot.elapsed() >= FORGET_INTERVAL {
-                self.forgot = Instant::now();
-                self.catalog.borrow_mut().forget(self.began.elapsed());
+            if self.last_expiry.elapsed() >= TOMBSTONE_EXPIRY_INTERVAL {
+                self.last_expiry = Instant::now();
+                self.catalog.borrow_mut().expire_tombstones(self.started.elapsed());
             }
         }
     }
 
-    /// One call and what it tells.
-    async fn next(&mut self) -> Result<(), PollError> {
-        if self.sources.fail_back(self.began.elapsed(), &mut self.rng) {
-            self.link = None;
+    /// Sends one poll and applies its response.
+    async fn poll(&mut self) -> Result<(), PollError> {
+        if self.sources.fail_back(self.started.elapsed(), &mut self.rng) {
+            self.connection = None;
         }
-        let call = self.session.next_poll();
-        let asked = Instant::now();
-        // Guards against a dead or silent link: whatever fails, the next call begins with a new one.
-        let link = self.link.take();
+        let poll = self.session.next_poll();
+        let polled_at = Instant::now();
+        // Taken, so that the connection is dropped if this poll fails: it may be closed or stalled, and the
+        // next poll needs a new one then.
+        let connection = self.connection.take();
         let address = self.sources.address();
-        let host = address.to_string().parse().expect("an address is a header value");
-        let request = list_request(host, &call.path());
-        let exchanged = exchange(link, dial(address, CONNECT_TIMEOUT), request, MAX_LIST_LENGTH);
-        let DiscoveryResponse { connection: link, headers, body } =
-            timeout(call.timeout, exchanged).await??;
-        let update = Update::read(&body)?;
-        let waited = !call.wait.is_zero();
-        let (index, whole, read, unreadable) =
-            (update.index, update.whole, update.readable(), update.unreadable);
-        self.link = Some(link);
+        let host = address.to_string().parse().expect("a socket address is a valid header value");
+        let request = list_request(host, &poll.path());
+        let exchanged = exchange(connection, dial(address, CONNECT_TIMEOUT), request, MAX_LIST_LENGTH);
+        let DiscoveryResponse { connection, headers, body } = timeout(poll.timeout, exchanged).await??;
+        let update = Update::parse(&body)?;
+        let waited = !poll.wait.is_zero();
+        let (index, full_snapshot, readable, unreadable) =
+            (update.index, update.full_snapshot, update.readable(), update.unreadable);
+        self.connection = Some(connection);
         self.sources.on_response();
-        if self.session.on_response(ResponseSummary {
-            index,
-            full_snapshot: whole,
-            readable: read,
-            unreadable,
-        }) == Verdict::Rejected
+        if self.session.on_response(ResponseSummary { index, full_snapshot, readable, unreadable })
+            == Verdict::Rejected
         {
-            eprintln!("relay: version {index} does not follow what is held: asking for all of it");
+            eprintln!("relay: version {index} does not fit the current list: requesting a full snapshot");
             sleep(MIN_POLL_INTERVAL).await;
             return Ok(());
         }
-        let taken = self.catalog.borrow_mut().take(update, self.began.elapsed());
-        if taken == ApplyOutcome::AwaitingConfirmation {
+        let outcome = self.catalog.borrow_mut().apply(update, self.started.elapsed());
+        if outcome == ApplyOutcome::AwaitingConfirmation {
             eprintln!(
-                "relay: version {index} would take out most of what is held: asking for all of it again"
+                "relay: version {index} would remove most endpoints: requesting a second full snapshot"
             );
             self.session.request_full_snapshot();
             sleep(CONFIRMATION_DELAY).await;
             return Ok(());
         }
-        if self.failing || self.confirmed.borrow().is_none() {
-            self.failing = false;
-            let listed = self.catalog.borrow().listed();
-            eprintln!("relay: {} answers: version {index}, {listed} order servers", self.sources.address());
+        if self.is_failing || self.confirmation.borrow().is_none() {
+            self.is_failing = false;
+            let endpoint_count = self.catalog.borrow().endpoint_count();
+            eprintln!(
+                "relay: source {} responding: version {index}, {endpoint_count} endpoints",
+                self.sources.address()
+            );
         }
         let at = Instant::now().checked_sub(age(&headers));
         let date = headers.get(DATE).cloned();
-        self.confirmed.send_replace(at.map(|at| Confirmation { at, date }));
-        if taken == ApplyOutcome::Changed(0) && waited && asked.elapsed() < MIN_POLL_INTERVAL {
+        self.confirmation.send_replace(at.map(|at| Confirmation { at, date }));
+        if outcome == ApplyOutcome::Changed(0) && waited && polled_at.elapsed() < MIN_POLL_INTERVAL {
             sleep(MIN_POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Says so once, however long it lasts; the pause before the next call.
-    fn failed(&mut self, error: &PollError) -> Duration {
-        if !self.failing {
-            self.failing = true;
-            eprintln!("relay: {}: {error}", self.sources.address());
+    /// Selects the next source and returns the backoff before the next poll. Logs only the first failure in a
+    /// row.
+    fn on_failure(&mut self, error: &PollError) -> Duration {
+        if !self.is_failing {
+            self.is_failing = true;
+            eprintln!("relay: polling source {} failed: {error}", self.sources.address());
         }
-        let pause = self.session.on_failure(error.is_invalid_response());
-        // Guards against sources that are left alone for up to a minute because this process lacks a
-        // descriptor.
+        let backoff = self.session.on_failure(error.is_invalid_response());
+        // A local error, such as a lack of descriptors, says nothing about the source, so it must not put the
+        // source into quarantine for up to a minute.
         if error.is_local() {
-            return pause.min(LOCAL_BACKOFF);
+            return backoff.min(LOCAL_BACKOFF);
         }
-        match self.sources.on_failure(self.began.elapsed(), &mut self.rng) {
-            // Relays are few: they need not be spread as client proxies are.
-            Fallback::NextSource(spread) => spread.min(pause),
-            Fallback::AllFailed => pause,
+        match self.sources.on_failure(self.started.elapsed(), &mut self.rng) {
+            // Relays are few, so they need not be spread over as much time as client proxies.
+            Fallback::NextSource(spread) => spread.min(backoff),
+            Fallback::AllFailed => backoff,
         }
     }
 }
