--- a/discovery-relay/tests/telling.rs
+++ b/discovery-relay/tests/telling.rs
@@ -1,50 +1,57 @@
-//! What a relay tells its callers, through one hop and two.
+//! Which lists and changes a relay serves to its downstreams, through one relay and through two.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{HANG, Mood, Relay, Source, TOLD, TrackedConnection, until};
+use common::{Behavior, FakeSource, MAX_PROPAGATION, Relay, TEST_TIMEOUT, TestConnection, wait_until};
 use tokio::time::{Instant, timeout};
 
-/// Follows a list as a client proxy does, from relay to relay: which of its calls are answered is its own
-/// affair.
-async fn learns(relay: &Relay, host: &str, mut held: u64, name: &str, status: &str) -> (u64, Duration) {
-    let asked = Instant::now();
-    let mut caller = TrackedConnection::dial(relay.address).await;
+/// Watches a list as a client proxy does, starting from `version`, until an endpoint has a status. Responses
+/// with 503, closed connections and time-outs lead to another poll. Returns the version then, and the time it
+/// took.
+async fn wait_for_status(
+    relay: &Relay,
+    host: &str,
+    mut version: u64,
+    name: &str,
+    status: &str,
+) -> (u64, Duration) {
+    let started = Instant::now();
+    let mut connection = TestConnection::dial(relay.address).await;
     loop {
-        assert!(asked.elapsed() < HANG, "{name} is not told as {status}");
-        let path = format!("/v1/endpoints?after={held}&wait_ms=500");
-        match timeout(Duration::from_secs(1), caller.ask(host, &path)).await {
-            Ok(Some(answer)) if answer.status == 200 => {
-                let (index, whole, entries) = answer.list();
-                assert!(index >= held, "version {index} after {held}");
-                assert!(!whole, "a whole list after version {held}");
-                held = index;
+        assert!(started.elapsed() < TEST_TIMEOUT, "{name} does not become {status}");
+        let path = format!("/v1/endpoints?after={version}&wait_ms=500");
+        match timeout(Duration::from_secs(1), connection.get(host, &path)).await {
+            Ok(Some(response)) if response.status == 200 => {
+                let (index, full_snapshot, entries) = response.list();
+                assert!(index >= version, "version {index} after {version}");
+                assert!(!full_snapshot, "a full snapshot after version {version}");
+                version = index;
                 if entries.iter().any(|entry| *entry == (name.to_owned(), status.to_owned())) {
-                    return (held, asked.elapsed());
+                    return (version, started.elapsed());
                 }
             }
-            Ok(Some(answer)) if answer.status == 503 => {
+            Ok(Some(response)) if response.status == 503 => {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
             other => {
-                let odd = !matches!(&other, Ok(None) | Err(_));
-                assert!(!odd, "{other:?}");
-                caller = TrackedConnection::dial(relay.address).await;
+                let is_unexpected = !matches!(&other, Ok(None) | Err(_));
+                assert!(!is_unexpected, "{other:?}");
+                connection = TestConnection::dial(relay.address).await;
             }
         }
     }
 }
 
-/// Guards against a list that another service's change, or none at all, is told in: each authority has its
-/// own, and an address has everything only where that is allowed.
+/// A downstream must get the endpoints of the service or scope that the authority names, and changes of no
+/// other service. An IP address selects all services only if the configuration allows it.
 #[tokio::test]
-async fn each_authority_has_its_own_list() {
-    let source = Source::start(&["shop-1", "shop-2", "till-1"]).await;
+async fn authority_selects_list() {
+    let source = FakeSource::start(&["shop-1", "shop-2", "till-1"]).await;
     let relay = Relay::start(&[source.address], "whole = true\nscopes = { front = [\"shop\", \"bank\"] }");
-    relay.has_a_list().await;
-    let mut caller = TrackedConnection::dial(relay.address).await;
+    relay.wait_for_list().await;
+    let mut connection = TestConnection::dial(relay.address).await;
     for (host, names) in [
         ("shop", &["shop-1", "shop-2"][..]),
         ("SHOP:8500", &["shop-1", "shop-2"]),
@@ -52,204 +59,206 @@
         ("front", &["shop-1", "shop-2"]),
         ("127.0.0.1:8500", &["shop-1", "shop-2", "till-1"]),
     ] {
-        let (index, whole, entries) = caller.ask(host, "/v1/endpoints").await.expect("an answer").list();
-        let told: Vec<&str> = entries.iter().map(|(name, _)| name.as_str()).collect();
-        assert_eq!((index, whole, &told[..]), (10, true, names), "{host}");
+        let (index, full_snapshot, entries) =
+            connection.get(host, "/v1/endpoints").await.expect("a response").list();
+        let listed: Vec<&str> = entries.iter().map(|(name, _)| name.as_str()).collect();
+        assert_eq!((index, full_snapshot, &listed[..]), (10, true, names), "{host}");
     }
-    // Nothing is new: the version goes along with the source's, also where another service changed.
+    // A change of another service yields an empty list of changes, with the source's new version.
     source.change(&["till-1"], "DRAINING");
-    learns(&relay, "till", 10, "till-1", "DRAINING").await;
+    wait_for_status(&relay, "till", 10, "till-1", "DRAINING").await;
     let path = "/v1/endpoints?after=10&wait_ms=10";
-    assert_eq!(caller.ask("shop", path).await.expect("an answer").list(), (11, false, Vec::new()));
-    // One watch, whoever calls.
-    let calls = source.calls();
-    let watches = calls.iter().filter(|call| call.ends_with("?after=10&wait_ms=500")).count();
+    assert_eq!(connection.get("shop", path).await.expect("a response").list(), (11, false, Vec::new()));
+    // However many requests the relay gets, it has one watch at the source.
+    let polls = source.polls();
+    let watches = polls.iter().filter(|poll| poll.ends_with("?after=10&wait_ms=500")).count();
     assert!(
-        watches >= 1 && calls.iter().filter(|call| call.ends_with("/v1/endpoints")).count() == 1,
-        "{calls:?}"
+        watches >= 1 && polls.iter().filter(|poll| poll.ends_with("/v1/endpoints")).count() == 1,
+        "{polls:?}"
     );
-    let own = Relay::start(&[source.address], "");
-    own.has_a_list().await;
-    let refused = TrackedConnection::dial(own.address).await.ask("127.0.0.1", "/v1/endpoints").await;
-    assert_eq!(refused.expect("an answer").status, 421);
+    let scoped_only = Relay::start(&[source.address], "");
+    scoped_only.wait_for_list().await;
+    let rejected = TestConnection::dial(scoped_only.address).await.get("127.0.0.1", "/v1/endpoints").await;
+    assert_eq!(rejected.expect("a response").status, 421);
 }
 
-/// Guards against a hop that keeps a change to itself: through two relays a drain is told in time, whatever
-/// befalls the way on which it comes.
+/// A relay that stalls or loses its source must not delay a change beyond the bound. A drain has to arrive
+/// through two relays in time while the source stalls, while its response is truncated and while the upper
+/// relay is stopped.
 #[tokio::test]
-async fn a_change_comes_through_two_hops_in_time() {
-    let source = Source::start(&["shop-1", "shop-2", "shop-3", "shop-4", "shop-5"]).await;
+async fn change_arrives_in_time_through_two_relays() {
+    let source = FakeSource::start(&["shop-1", "shop-2", "shop-3", "shop-4", "shop-5"]).await;
     let upper = Relay::start(&[source.address], "whole = true");
     let lower = Relay::start(&[upper.address], "");
-    lower.has_a_list().await;
-    let (mut held, at_once) = {
+    lower.wait_for_list().await;
+    let (mut version, undisturbed) = {
         source.change(&["shop-1"], "DRAINING");
-        learns(&lower, "shop", 10, "shop-1", "DRAINING").await
+        wait_for_status(&lower, "shop", 10, "shop-1", "DRAINING").await
     };
-    assert!(at_once < TOLD, "{at_once:?}");
-    // The source's watch falls silent, and it answers new calls again right after.
-    source.be(Mood::Silent);
-    source.is_asked().await;
+    assert!(undisturbed < MAX_PROPAGATION, "{undisturbed:?}");
+    // The source stalls, with the relay's watch open, and recovers right after the next poll.
+    source.set_behavior(Behavior::Stalled);
+    source.wait_for_poll().await;
     source.change(&["shop-2"], "DRAINING");
-    let told = learns(&lower, "shop", held, "shop-2", "DRAINING");
-    let sound = async {
-        // Only new calls are answered: the old one is given up by the relay.
-        source.is_asked().await;
-        source.be(Mood::Sound);
+    let arrival = wait_for_status(&lower, "shop", version, "shop-2", "DRAINING");
+    let recovery = async {
+        // The stalled poll gets no response: the relay has to time it out and poll again.
+        source.wait_for_poll().await;
+        source.set_behavior(Behavior::Healthy);
     };
-    let ((version, silent), ()) = tokio::join!(told, sound);
-    assert!(silent < TOLD, "{silent:?}");
-    held = version;
-    // Half an answer, and a reset.
-    source.be(Mood::Half);
-    source.is_asked().await;
+    let ((new_version, after_stall), ()) = tokio::join!(arrival, recovery);
+    assert!(after_stall < MAX_PROPAGATION, "{after_stall:?}");
+    version = new_version;
+    // The source sends a truncated response and closes the connection.
+    source.set_behavior(Behavior::TruncatedBody);
+    source.wait_for_poll().await;
     source.change(&["shop-3"], "DRAINING");
-    let told = learns(&lower, "shop", held, "shop-3", "DRAINING");
-    let sound = async {
-        source.is_asked().await;
-        source.be(Mood::Sound);
+    let arrival = wait_for_status(&lower, "shop", version, "shop-3", "DRAINING");
+    let recovery = async {
+        source.wait_for_poll().await;
+        source.set_behavior(Behavior::Healthy);
     };
-    let ((version, half), ()) = tokio::join!(told, sound);
-    assert!(half < TOLD, "{half:?}");
-    held = version;
-    // The upper relay stops, and goes on: what it had read before is not told over what came since.
+    let ((new_version, after_truncation), ()) = tokio::join!(arrival, recovery);
+    assert!(after_truncation < MAX_PROPAGATION, "{after_truncation:?}");
+    version = new_version;
+    // The upper relay is stopped for a second. What it read before must not overwrite newer changes.
     upper.signal("STOP");
     source.change(&["shop-4"], "DRAINING");
-    let told = learns(&lower, "shop", held, "shop-4", "DRAINING");
-    let on = async {
+    let arrival = wait_for_status(&lower, "shop", version, "shop-4", "DRAINING");
+    let continuation = async {
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         upper.signal("CONT");
     };
-    let ((version, _), ()) = tokio::join!(told, on);
-    held = version;
+    let ((new_version, _), ()) = tokio::join!(arrival, continuation);
+    version = new_version;
     source.change(&["shop-5"], "DELETED");
-    learns(&lower, "shop", held, "shop-5", "DELETED").await;
+    wait_for_status(&lower, "shop", version, "shop-5", "DELETED").await;
 }
 
-/// Guards against a caller that moves to a relay which is behind, or in the dark: it is told nothing older,
-/// and is sent on.
+/// A downstream may move to a relay that has an older version. An older list would undo changes, so the relay
+/// rejects the request until it has caught up.
 #[tokio::test]
-async fn a_relay_that_is_behind_refuses_until_it_has_caught_up() {
-    let source = Source::start(&["shop-1"]).await;
+async fn relay_behind_downstream_responds_503_until_caught_up() {
+    let source = FakeSource::start(&["shop-1"]).await;
     let relay = Relay::start(&[source.address], "");
-    relay.has_a_list().await;
-    let mut caller = TrackedConnection::dial(relay.address).await;
-    let behind = caller.ask("shop", "/v1/endpoints?after=12&wait_ms=0").await.expect("an answer");
+    relay.wait_for_list().await;
+    let mut connection = TestConnection::dial(relay.address).await;
+    let behind = connection.get("shop", "/v1/endpoints?after=12&wait_ms=0").await.expect("a response");
     assert_eq!(behind.status, 503);
     assert!(behind.header("retry-after").is_some(), "{behind:?}");
-    // It waits a little for what is on its way.
+    // The relay waits a little for changes that are on their way.
     source.change(&["shop-1"], "DRAINING");
-    caller.send("shop", "/v1/endpoints?after=12&wait_ms=0").await.expect("sent");
+    connection.send("shop", "/v1/endpoints?after=12&wait_ms=0").await.expect("the request is sent");
     source.change(&["shop-1"], "SERVING");
-    let caught_up = caller.answer().await.expect("an answer");
+    let caught_up = connection.read_response().await.expect("a response");
     assert!(caught_up.status == 503 || caught_up.list().0 == 12, "{caught_up:?}");
-    until("it has caught up", || async {
-        let mut caller = TrackedConnection::dial(relay.address).await;
-        caller.ask("shop", "/v1/endpoints?after=12&wait_ms=0").await.expect("an answer").status == 200
+    wait_until("the relay has caught up", || async {
+        let mut connection = TestConnection::dial(relay.address).await;
+        connection.get("shop", "/v1/endpoints?after=12&wait_ms=0").await.expect("a response").status == 200
     })
     .await;
 }
 
-/// Guards against a relay in the dark that passes for one in the know: it refuses watches, still serves those
-/// who have no list, says how old it is, and takes nobody out.
+/// A relay that has lost its source must not look up to date. It rejects watches, so that downstreams go to
+/// another relay, but still serves its list, with its age, to those that have none, and removes no endpoint.
 #[tokio::test]
-async fn a_relay_without_a_source_says_so_and_keeps_what_it_has() {
-    let source = Source::start(&["shop-1", "shop-2"]).await;
+async fn relay_without_source_rejects_watches_and_serves_stale_list() {
+    let source = FakeSource::start(&["shop-1", "shop-2"]).await;
     let upper = Relay::start(&[source.address], "whole = true");
     let lower = Relay::start(&[upper.address], "");
-    lower.has_a_list().await;
-    let mut waiting = TrackedConnection::dial(lower.address).await;
-    waiting.send("shop", "/v1/endpoints?after=10&wait_ms=60000").await.expect("sent");
-    source.be(Mood::Down);
-    assert_eq!(waiting.answer().await.expect("an answer").status, 503, "who waits is sent on");
-    let all =
-        TrackedConnection::dial(lower.address).await.ask("shop", "/v1/endpoints").await.expect("an answer");
-    assert_eq!(all.list().2.len(), 2);
-    until("its age is told", || async {
-        let all = TrackedConnection::dial(lower.address)
-            .await
-            .ask("shop", "/v1/endpoints")
-            .await
-            .expect("an answer");
-        let age = all.header("age").expect("an age").parse::<u64>().expect("seconds");
-        assert_eq!(all.list().2.len(), 2);
+    lower.wait_for_list().await;
+    let mut watch = TestConnection::dial(lower.address).await;
+    watch.send("shop", "/v1/endpoints?after=10&wait_ms=60000").await.expect("the request is sent");
+    source.set_behavior(Behavior::Unavailable);
+    assert_eq!(watch.read_response().await.expect("a response").status, 503, "an open watch is ended");
+    let snapshot =
+        TestConnection::dial(lower.address).await.get("shop", "/v1/endpoints").await.expect("a response");
+    assert_eq!(snapshot.list().2.len(), 2);
+    wait_until("the age is reported", || async {
+        let snapshot =
+            TestConnection::dial(lower.address).await.get("shop", "/v1/endpoints").await.expect("a response");
+        let age = snapshot.header("age").expect("an age").parse::<u64>().expect("whole seconds");
+        assert_eq!(snapshot.list().2.len(), 2);
         age >= 3
     })
     .await;
-    // A relay that starts now has what the upper one has, and knows how old that is.
-    let late = Relay::start(&[upper.address], "");
-    late.has_a_list().await;
-    let mut caller = TrackedConnection::dial(late.address).await;
-    let all = caller.ask("shop", "/v1/endpoints").await.expect("an answer");
-    assert!(all.header("age").expect("an age").parse::<u64>().expect("seconds") >= 3, "{all:?}");
+    // A relay that starts now gets the upper one's list, with its age.
+    let new_relay = Relay::start(&[upper.address], "");
+    new_relay.wait_for_list().await;
+    let mut connection = TestConnection::dial(new_relay.address).await;
+    let snapshot = connection.get("shop", "/v1/endpoints").await.expect("a response");
+    assert!(
+        snapshot.header("age").expect("an age").parse::<u64>().expect("whole seconds") >= 3,
+        "{snapshot:?}"
+    );
     assert_eq!(
-        caller.ask("shop", "/v1/endpoints?after=10&wait_ms=100").await.expect("an answer").status,
+        connection.get("shop", "/v1/endpoints?after=10&wait_ms=100").await.expect("a response").status,
         503
     );
-    // At the heal changes flow, no list and no removal.
+    // After the recovery only the change is sent, without any full snapshot.
     source.change(&["shop-1"], "DRAINING");
-    let lists = source.calls().iter().filter(|call| call.ends_with("/v1/endpoints")).count();
-    source.be(Mood::Sound);
-    learns(&lower, "shop", 10, "shop-1", "DRAINING").await;
-    assert_eq!(source.calls().iter().filter(|call| call.ends_with("/v1/endpoints")).count(), lists);
+    let snapshots = source.polls().iter().filter(|poll| poll.ends_with("/v1/endpoints")).count();
+    source.set_behavior(Behavior::Healthy);
+    wait_for_status(&lower, "shop", 10, "shop-1", "DRAINING").await;
+    assert_eq!(source.polls().iter().filter(|poll| poll.ends_with("/v1/endpoints")).count(), snapshots);
 }
 
-/// Guards against a source that is set back, or lies for a moment: callers are told at last what is so, and a
-/// list that shrinks to nothing for the length of one answer takes nobody out.
+/// A source that restarts may send one empty list, which must not remove every endpoint, or a lower version,
+/// which downstreams have to follow in the end.
 #[tokio::test]
-async fn a_source_that_is_set_back_or_empty_for_a_moment() {
+async fn source_reset_is_followed_and_empty_list_ignored() {
     let names: Vec<String> = (0..20).map(|n| format!("shop-{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let source = Source::start(&names).await;
+    let source = FakeSource::start(&names).await;
     let relay = Relay::start(&[source.address], "");
-    relay.has_a_list().await;
-    source.be(Mood::SaysOnce(r#"{"index":11,"snapshot":true,"endpoints":[]}"#.to_owned()));
-    source.restart_at(12, None);
-    until("it holds on", || async {
-        let mut caller = TrackedConnection::dial(relay.address).await;
-        let answer = caller.ask("shop", "/v1/endpoints?after=10&wait_ms=0").await.expect("an answer");
-        if answer.status == 503 {
+    relay.wait_for_list().await;
+    source.set_behavior(Behavior::BodyOnce(r#"{"index":11,"snapshot":true,"endpoints":[]}"#.to_owned()));
+    source.reset_to(12, None);
+    wait_until("the relay follows without removals", || async {
+        let mut connection = TestConnection::dial(relay.address).await;
+        let response = connection.get("shop", "/v1/endpoints?after=10&wait_ms=0").await.expect("a response");
+        if response.status == 503 {
             return false;
         }
-        let (index, _, entries) = answer.list();
+        let (index, _, entries) = response.list();
         assert!(entries.iter().all(|(_, status)| status == "SERVING"), "{entries:?}");
         index == 12
     })
     .await;
-    source.restart_at(4, Some(&names[..15]));
-    until("it follows the source back", || async {
-        let mut caller = TrackedConnection::dial(relay.address).await;
-        let answer = caller.ask("shop", "/v1/endpoints?after=12&wait_ms=0").await.expect("an answer");
-        answer.status == 200 && {
-            let (index, whole, entries) = answer.list();
-            index == 4 && whole && entries.len() == 15
+    source.reset_to(4, Some(&names[..15]));
+    wait_until("the relay follows the source to a lower version", || async {
+        let mut connection = TestConnection::dial(relay.address).await;
+        let response = connection.get("shop", "/v1/endpoints?after=12&wait_ms=0").await.expect("a response");
+        response.status == 200 && {
+            let (index, full_snapshot, entries) = response.list();
+            index == 4 && full_snapshot && entries.len() == 15
         }
     })
     .await;
 }
 
-/// Guards against a caller that takes a relay's wall clock, which may be stepped, for discovery's: an answer
-/// has discovery's date as it came, with its age, through two hops; or none.
+/// Downstreams take `Date` for discovery's clock. A relay's own wall clock may have been stepped, so a
+/// response has discovery's unchanged `Date` with an `Age`, also through two relays, or no `Date` at all.
 #[tokio::test]
-async fn the_only_date_that_is_told_is_discoverys_own() {
-    let source = Source::start(&["shop-1"]).await;
-    let near = Relay::start(&[source.address], "whole = true");
-    near.has_a_list().await;
-    let far = Relay::start(&[near.address], "whole = true");
-    far.has_a_list().await;
+async fn only_discoverys_date_is_passed_on() {
+    let source = FakeSource::start(&["shop-1"]).await;
+    let upper = Relay::start(&[source.address], "whole = true");
+    upper.wait_for_list().await;
+    let lower = Relay::start(&[upper.address], "whole = true");
+    lower.wait_for_list().await;
     let date = "Tue, 14 Nov 2023 22:13:20 GMT";
     for path in ["/v1/endpoints", "/v1/endpoints?after=10&wait_ms=10", "/v1/nothing"] {
-        let told = TrackedConnection::dial(far.address).await.ask("shop", path).await.expect("an answer");
-        assert_eq!(told.header("date"), None, "{path}");
+        let response = TestConnection::dial(lower.address).await.get("shop", path).await.expect("a response");
+        assert_eq!(response.header("date"), None, "{path}");
     }
     source.add_headers(&format!("date: {date}\r\n"));
-    until("discovery's date is told", || async {
-        let told =
-            TrackedConnection::dial(far.address).await.ask("shop", "/v1/endpoints").await.expect("an answer");
-        assert!(told.header("age").is_some(), "{told:?}");
-        let told = told.header("date");
-        assert!(told.is_none() || told.as_deref() == Some(date), "{told:?}");
-        told.is_some()
+    wait_until("discovery's date is passed on", || async {
+        let response =
+            TestConnection::dial(lower.address).await.get("shop", "/v1/endpoints").await.expect("a response");
+        assert!(response.header("age").is_some(), "{response:?}");
+        let received_date = response.header("date");
+        assert!(received_date.is_none() || received_date.as_deref() == Some(date), "{received_date:?}");
+        received_date.is_some()
     })
     .await;
 }
