--- a/simulator-adapter/src/link.rs
+++ b/simulator-adapter/src/link.rs
@@ -183,7 +183,7 @@
                 proxy,
                 request,
                 is_retry,
-                update,
+                is_write,
                 remaining_deadline,
                 class,
                 size_hint,
@@ -194,7 +194,7 @@
                 if instance.id(&request).is_some() {
                     return Ok(false); // duplicate: the first one has not ended yet
                 }
-                let metadata = RequestMetadata { class, tenant, is_retry, is_write: update, size_hint, key };
+                let metadata = RequestMetadata { class, tenant, is_retry, is_write, size_hint, key };
                 let id = instance.add_request(&request);
                 let request = NewRequest { id, timeout: remaining_deadline, body_pending: false, metadata };
                 self.dispatch(now, proxy, Event::Request(request), reply)?;
--- a/simulator-adapter/src/settings.rs
+++ b/simulator-adapter/src/settings.rs
@@ -34,13 +34,14 @@
     #[serde(default, rename = "customers")]
     pub tenants: Vec<WireTenant>,
     /// Whether discovery pushes changes of the endpoint list or has to be polled.
-    pub discovery: WireDiscovery,
+    #[serde(rename = "discovery")]
+    pub discovery_mode: WireDiscoveryMode,
     /// Caching by endpoints.
     #[serde(default, rename = "familyInfo")]
     pub endpoint_cache: WireEndpointCache,
     /// Weights of the measures of service quality.
-    #[serde(default)]
-    pub goal: WireGoal,
+    #[serde(default, rename = "goal")]
+    pub objective_weights: WireObjectiveWeights,
     /// Names of the endpoint kinds.
     #[serde(default)]
     pub kinds: Vec<String>,
@@ -60,7 +61,7 @@
     pub tick_ms: f64,
     /// Meaning of the endpoints' weights: `nominal`, `rough` or `live`; any other value means equal weights.
     #[serde(default, rename = "weights")]
-    pub weight_meaning: String,
+    pub weight_basis: String,
     /// Index of this balancer's zone in `zones`.
     #[serde(default, rename = "zone")]
     pub own_zone: usize,
@@ -113,7 +114,7 @@
 #[serde(rename_all = "camelCase")]
 pub struct WireContract {
     #[serde(rename = "askWithin")]
-    pub poll_within: Option<f64>,
+    pub max_notification_delay: Option<f64>,
     #[serde(rename = "cold")]
     pub warm_up: f64,
     #[serde(rename = "coldFrom")]
@@ -133,27 +134,27 @@
     #[serde(default)]
     pub name: String,
     #[serde(rename = "portion")]
-    pub share: f64,
+    pub service_share: f64,
     pub quota_per_s: f64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum WireDiscovery {
-    Automatic,
-    Subscribe,
+pub enum WireDiscoveryMode {
+    #[serde(rename = "automatic")]
+    Push,
+    #[serde(rename = "subscribe")]
+    Pull,
 }
 
 #[derive(Debug, Default, Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub struct WireClients {
-    #[serde(default)]
-    pub marks_retry: bool,
+    #[serde(default, rename = "marksRetry")]
+    pub mark_retries: bool,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct WireGoal {
+pub struct WireObjectiveWeights {
     #[serde(rename = "whole")]
     pub overall: f64,
     pub worst_class: f64,
@@ -166,14 +167,13 @@
 pub struct WireLoadReports {
     pub fields: Vec<String>,
     #[serde(rename = "how")]
-    pub sent_with: String,
+    pub carried_by: String,
 }
 
 #[derive(Debug, Default, Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub struct WireEndpointCache {
-    #[serde(default)]
-    pub warm_keys: bool,
+    #[serde(default, rename = "warmKeys")]
+    pub key_affinity: bool,
 }
 
 #[derive(Debug, Deserialize)]
@@ -181,8 +181,8 @@
 pub struct WireLimits {
     #[serde(rename = "attemptsCap")]
     pub max_attempts: u32,
-    #[serde(default)]
-    pub cancelling: bool,
+    #[serde(default, rename = "cancelling")]
+    pub cancellation: bool,
     #[serde(default = "unlimited", rename = "connIdle")]
     pub connection_idle_timeout: f64,
     #[serde(default)]
@@ -195,8 +195,8 @@
     pub max_requests_in_flight: u32,
     #[serde(default)]
     pub max_retry_after: f64,
-    #[serde(default = "one_stream")]
-    pub max_streams: u32,
+    #[serde(default = "one_stream", rename = "maxStreams")]
+    pub streams_per_connection: u32,
     #[serde(default)]
     pub peer_messages: bool,
     #[serde(default)]
@@ -216,7 +216,8 @@
     pub handshake: f64,
     #[serde(rename = "lateFail")]
     pub late_failure: f64,
-    pub peer: f64,
+    #[serde(rename = "peer")]
+    pub peer_message: f64,
     pub probe: f64,
     pub waste: f64,
 }
@@ -241,7 +242,7 @@
 fn convert_load_reports(reports: &WireLoadReports) -> LoadReportSettings {
     let includes = |name: &str| reports.fields.iter().any(|field| field == name);
     LoadReportSettings {
-        carried_by: match reports.sent_with.as_str() {
+        carried_by: match reports.carried_by.as_str() {
             "answers" => LoadReporting::WithResponses,
             "probe" => LoadReporting::WithProbes,
             _ => LoadReporting::Never,
@@ -283,7 +284,7 @@
     let tenants = wire
         .tenants
         .into_iter()
-        .map(|tenant| Tenant { service_share: tenant.share, quota_per_s: tenant.quota_per_s });
+        .map(|tenant| Tenant { service_share: tenant.service_share, quota_per_s: tenant.quota_per_s });
     Settings {
         balancer_index: wire.balancer_index,
         balancer_count: wire.balancer_count,
@@ -295,29 +296,29 @@
         tenants: tenants.collect(),
         over_quota_weight: wire.over_quota_weight,
         weight_by_work: wire.weight_counted_by == "work",
-        key_affinity: wire.endpoint_cache.warm_keys,
-        clients_mark_retries: wire.clients.marks_retry,
+        key_affinity: wire.endpoint_cache.key_affinity,
+        clients_mark_retries: wire.clients.mark_retries,
         objective_weights: ObjectiveWeights {
-            overall: wire.goal.overall,
-            worst_window: wire.goal.worst_window,
-            worst_class: wire.goal.worst_class,
-            worst_tenant: wire.goal.worst_tenant,
+            overall: wire.objective_weights.overall,
+            worst_window: wire.objective_weights.worst_window,
+            worst_class: wire.objective_weights.worst_class,
+            worst_tenant: wire.objective_weights.worst_tenant,
         },
         load_reports: convert_load_reports(&wire.load_reports),
-        weight_basis: match wire.weight_meaning.as_str() {
+        weight_basis: match wire.weight_basis.as_str() {
             "nominal" => WeightBasis::Nominal,
             "rough" => WeightBasis::Approximate,
             "live" => WeightBasis::LoadAdjusted,
             _ => WeightBasis::Equal,
         },
-        discovery_mode: match wire.discovery {
-            WireDiscovery::Automatic => DiscoveryMode::Push,
-            WireDiscovery::Subscribe => DiscoveryMode::Pull,
+        discovery_mode: match wire.discovery_mode {
+            WireDiscoveryMode::Push => DiscoveryMode::Push,
+            WireDiscoveryMode::Pull => DiscoveryMode::Pull,
         },
         timer_resolution: wire.tick_ms,
         limits: Limits {
             max_attempts: wire.limits.max_attempts,
-            cancellation: wire.limits.cancelling,
+            cancellation: wire.limits.cancellation,
             hedging: wire.limits.hedging,
             probes: wire.limits.probes,
             peer_messages: wire.limits.peer_messages,
@@ -325,7 +326,7 @@
             max_retry_after: wire.limits.max_retry_after,
             connect_timeout: wire.limits.connect_timeout,
             connection_idle_timeout: wire.limits.connection_idle_timeout,
-            streams_per_connection: wire.limits.max_streams,
+            streams_per_connection: wire.limits.streams_per_connection,
             max_requests_in_flight: wire.limits.max_requests_in_flight,
             cpu_us_per_s: wire.limits.cpu_us_per_s,
             cpu_us_per_request: Some(wire.limits.cpu_us_per_request).filter(|us| *us != 0.0),
@@ -337,7 +338,7 @@
             warm_up: wire.contract.warm_up,
             overload_multiple: wire.contract.overload_multiple,
             overload_window: wire.contract.overload_window,
-            max_notification_delay: wire.contract.poll_within,
+            max_notification_delay: wire.contract.max_notification_delay,
         },
         prices: Prices {
             cross_zone: wire.prices.cross_zone,
@@ -347,7 +348,7 @@
             connection: wire.prices.connection,
             discovery: wire.prices.discovery,
             probe: wire.prices.probe,
-            peer_message: wire.prices.peer,
+            peer_message: wire.prices.peer_message,
         },
     }
 }
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -52,9 +52,8 @@
         request: Cow<'a, str>,
         #[serde(default)]
         is_retry: bool,
-        /// The request writes to what endpoints store.
-        #[serde(default)]
-        update: bool,
+        #[serde(default, rename = "update")]
+        is_write: bool,
         #[serde(rename = "patienceLeft")]
         remaining_deadline: f64,
         #[serde(rename = "band")]
