--- a/balancer/tests/admission.rs
+++ b/balancer/tests/admission.rs
@@ -1,254 +1,271 @@
-//! Admission: what is rejected so that the rest is served in time.
+//! Admission: which requests are rejected so that the others are served in time.
 
 mod common;
 use balancer::*;
 use common::*;
 
-/// Guards against jams: when every endpoint is late, part of the work is refused, and least worth goes first.
+/// When all endpoints are overloaded, part of the requests is rejected, those of the lowest priority weight
+/// first. Without shedding, queues would grow until every response is late.
 #[test]
-fn under_overload_the_least_worth_per_work_is_refused() {
-    let mut s = settings();
-    s.classes.push(Class { priority_weight: 10.0, ..class(Effect::Safe) });
+fn overload_sheds_lowest_priority_first() {
+    let mut settings = settings();
+    settings.classes.push(Class { priority_weight: 10.0, ..class(Effect::Safe) });
     let class = |step| usize::from(step % 4 == 0);
-    let parts = overload(s, |step| (class(step), class(step), false));
-    assert!(parts[0] > 0.3 && parts[1] < 0.1, "{parts:?}");
+    let rejected_shares = overload(settings, |step| (class(step), class(step), false));
+    assert!(rejected_shares[0] > 0.3 && rejected_shares[1] < 0.1, "{rejected_shares:?}");
 }
 
-/// Guards against shedding that outlasts its cause.
+/// Shedding has to stop with its cause: once latency has been normal for 6 s, nothing is rejected.
 #[test]
-fn shedding_ends_soon_after_the_overload() {
-    let mut rig = Rig::new(settings(), endpoints(3));
-    stream(&mut rig, 2000.0, 5.0, |_, _| (20.0, Outcome::Served));
-    stream(&mut rig, 4000.0, 5.0, |_, _| (300.0, Outcome::Served));
-    stream(&mut rig, 6000.0, 5.0, |_, _| (20.0, Outcome::Served));
-    let before = rig.refusals();
-    assert!(before > 0, "the overload was answered by refusals");
-    stream(&mut rig, 2000.0, 5.0, |_, _| (20.0, Outcome::Served));
-    let after = rig.refusals();
+fn shedding_stops_after_overload() {
+    let mut harness = Harness::new(settings(), endpoints(3));
+    run_load(&mut harness, 2000.0, 5.0, |_, _| (20.0, Outcome::Served));
+    run_load(&mut harness, 4000.0, 5.0, |_, _| (300.0, Outcome::Served));
+    run_load(&mut harness, 6000.0, 5.0, |_, _| (20.0, Outcome::Served));
+    let before = harness.rejections();
+    assert!(before > 0, "nothing was rejected during the overload");
+    run_load(&mut harness, 2000.0, 5.0, |_, _| (20.0, Outcome::Served));
+    let after = harness.rejections();
     assert_eq!(before, after);
 }
 
-/// How many of 400 requests that come at once, and get no answers, are sent.
-fn admitted(rig: &mut Rig) -> usize {
-    rig.sent_at_once(400, |_| {}).len()
+/// Sends 400 requests at once, none of which gets a response. Returns the number of those that were admitted.
+fn admitted(harness: &mut Harness) -> usize {
+    harness.request_burst(400, |_| {}).len()
 }
 
-fn calm_rig() -> Rig {
-    let s = settings();
-    let mut rig = Rig::new(s, endpoints(8));
-    stream(&mut rig, 5000.0, 2.0, |_, _| (20.0, Outcome::Served));
-    rig
+fn harness_after_normal_load() -> Harness {
+    let settings = settings();
+    let mut harness = Harness::new(settings, endpoints(8));
+    run_load(&mut harness, 5000.0, 2.0, |_, _| (20.0, Outcome::Served));
+    harness
 }
 
-/// Guards against endpoints that choke in the first moments of an overload, before any answer has come.
+/// Before the first response, nothing is known of the endpoints' capacity. Without an initial concurrency
+/// limit, a burst at that moment would overload them.
 #[test]
-fn the_concurrency_limit_holds_from_the_first_moment() {
-    let mut s = settings();
-    s.balancer_count = 4;
-    let mut rig = Rig::new(s, endpoints(8));
-    let sent = admitted(&mut rig);
+fn concurrency_limit_applies_before_first_response() {
+    let mut settings = settings();
+    settings.balancer_count = 4;
+    let mut harness = Harness::new(settings, endpoints(8));
+    let sent = admitted(&mut harness);
     assert!((4..100).contains(&sent), "{sent}");
 }
 
-/// Guards against the rest of a fleet choking when many endpoints are lost: the limit falls with them.
+/// When most endpoints are removed, the concurrency limit has to shrink. Otherwise the remaining endpoints
+/// would get the work of the whole fleet and be overloaded.
 #[test]
-fn the_concurrency_limit_falls_with_the_ready_endpoints() {
-    let all = admitted(&mut calm_rig());
-    assert!((15..100).contains(&all), "ten were in flight: {all}");
-    let mut rig = calm_rig();
-    rig.news(EndpointUpdate::FullSnapshot(endpoints(3)));
-    let few = admitted(&mut rig);
-    assert!(few * 2 < all, "{few} of {all}");
+fn concurrency_limit_shrinks_with_endpoints() {
+    let all = admitted(&mut harness_after_normal_load());
+    assert!((15..100).contains(&all), "10 were in flight before: {all}");
+    let mut harness = harness_after_normal_load();
+    harness.update_endpoints(EndpointUpdate::FullSnapshot(endpoints(3)));
+    let few = admitted(&mut harness);
+    assert!(few * 2 < all, "3 endpoints: {few}, 8 endpoints: {all}");
 }
 
-/// Guards against a jam while a fleet grows: cold endpoints count for their warm part only.
+/// Endpoints in slow start count for their present fraction of capacity only. If they counted in full, a
+/// fleet that scales up would admit more than it can serve.
 #[test]
-fn cold_endpoints_hardly_raise_the_concurrency_limit() {
-    let all = admitted(&mut calm_rig());
-    let mut rig = calm_rig();
-    let started = Some(rig.now);
-    rig.news(EndpointUpdate::Changes(
-        (11..19).map(|n| EndpointEntry { started_at: started, ..endpoint(n) }).collect(),
+fn slow_start_endpoints_barely_raise_limit() {
+    let all = admitted(&mut harness_after_normal_load());
+    let mut harness = harness_after_normal_load();
+    let started_at = Some(harness.now);
+    harness.update_endpoints(EndpointUpdate::Changes(
+        (11..19).map(|n| EndpointEntry { started_at, ..endpoint(n) }).collect(),
     ));
-    let more = admitted(&mut rig);
-    assert!(more as f64 <= 1.5 * all as f64, "{more} against {all}");
+    let more = admitted(&mut harness);
+    assert!(more as f64 <= 1.5 * all as f64, "{more} with 8 more endpoints, {all} without");
 }
 
-/// Strain alone sheds: here hardly anything is in flight, but every answer is nearly late.
+/// The overload signal sheds by itself, far below the concurrency limit: here one request is in flight at a
+/// time, but each takes 190 ms of a latency objective of 200 ms.
 #[test]
-fn strain_sheds_though_little_is_in_flight() {
-    let s = settings();
-    let mut rig = Rig::new(s, endpoints(3));
-    let mut refused = 0;
+fn overload_signal_sheds_with_few_in_flight() {
+    let settings = settings();
+    let mut harness = Harness::new(settings, endpoints(3));
+    let mut rejected = 0;
     for _ in 0..100 {
-        let id = rig.request(0);
-        rig.pass(190.0);
-        for open in rig.open(id) {
-            rig.finish(id, open, Outcome::Served);
+        let id = harness.request(0);
+        harness.advance(190.0);
+        for attempt in harness.attempts_in_flight(id) {
+            harness.finish_attempt(id, attempt, Outcome::Served);
         }
-        refused += u32::from(rig.requests[&id].ending == Some(Ending::Refused));
+        rejected += u32::from(harness.requests[&id].final_outcome == Some(FinalOutcome::Rejected));
     }
-    assert!(refused > 20, "{refused}");
+    assert!(rejected > 20, "{rejected}");
 }
 
-/// Guards against a balancer of little traffic that sheds for good: with nothing sent, no answer tells it
-/// that the strain is over.
+/// A balancer with little traffic has to stop shedding too. If it rejected everything, no response would show
+/// that the overload is over, and it would shed for good.
 #[test]
-fn a_small_balancer_finds_out_of_its_shedding() {
+fn low_traffic_balancer_stops_shedding() {
     for seed in 0..6 {
-        let s = settings();
-        let mut rig = Rig::seeded(s, endpoints(3), seed);
-        stream(&mut rig, 10_000.0, 100.0, |_, _| (900.0, Outcome::Served));
-        assert!(rig.refusals() > 30, "{}", rig.refusals());
-        // Its memory of the strain is longer than a busy one's, so this takes some seconds.
-        stream(&mut rig, 12_000.0, 1000.0, |_, _| (20.0, Outcome::Served));
-        let before = rig.refusals();
-        stream(&mut rig, 8000.0, 1000.0, |_, _| (20.0, Outcome::Served));
-        assert_eq!(rig.refusals(), before);
+        let settings = settings();
+        let mut harness = Harness::with_seed(settings, endpoints(3), seed);
+        run_load(&mut harness, 10_000.0, 100.0, |_, _| (900.0, Outcome::Served));
+        assert!(harness.rejections() > 30, "{}", harness.rejections());
+        // With little traffic the overload signal covers a longer time, so this takes some seconds.
+        run_load(&mut harness, 12_000.0, 1000.0, |_, _| (20.0, Outcome::Served));
+        let before = harness.rejections();
+        run_load(&mut harness, 8000.0, 1000.0, |_, _| (20.0, Outcome::Served));
+        assert_eq!(harness.rejections(), before);
     }
 }
 
-/// Offers 1 request in 3 ms to one queue for all endpoints, which serves 1 in 5 ms. `offer(step)` names its
-/// group (0 or 1), its class, and whether it is a known repeat. The part of each group that is refused.
-fn overload(s: Settings, offer: impl Fn(usize) -> (usize, usize, bool)) -> [f64; 2] {
-    let mut rig = Rig::new(s, endpoints(3));
-    let (mut open, mut busy_until) = (Vec::new(), rig.now);
-    let (mut refused, mut total) = ([0.0; 2], [0.0; 2]);
+/// Sends a request every 3 ms to endpoints that share one queue, which serves one request every 5 ms.
+/// `offer(step)` gives the request's group (0 or 1), its class, and whether it is marked as a retry. Returns
+/// the share of each group that is rejected.
+fn overload(settings: Settings, offer: impl Fn(usize) -> (usize, usize, bool)) -> [f64; 2] {
+    let mut harness = Harness::new(settings, endpoints(3));
+    let (mut pending, mut busy_until) = (Vec::new(), harness.now);
+    let (mut rejected, mut total) = ([0.0; 2], [0.0; 2]);
     for step in 0..3000 {
         let (group, class, is_retry) = offer(step);
-        let id = rig.request_with(class, |r| r.metadata.is_retry = is_retry);
+        let id = harness.request_with(class, |new| new.metadata.is_retry = is_retry);
         if step > 1000 {
             total[group] += 1.0;
-            refused[group] += f64::from(u8::from(rig.requests[&id].ending == Some(Ending::Refused)));
+            rejected[group] +=
+                f64::from(u8::from(harness.requests[&id].final_outcome == Some(FinalOutcome::Rejected)));
         }
-        if !rig.requests[&id].sent.is_empty() {
-            busy_until = rig.now.max(busy_until) + 5.0;
-            open.push((busy_until, id));
+        if !harness.requests[&id].attempts.is_empty() {
+            busy_until = harness.now.max(busy_until) + 5.0;
+            pending.push((busy_until, id));
         }
-        rig.pass(3.0);
-        rig.serve_due(&mut open);
+        harness.advance(3.0);
+        harness.serve_due(&mut pending);
     }
-    [refused[0] / total[0], refused[1] / total[1]]
+    [rejected[0] / total[0], rejected[1] / total[1]]
 }
 
-/// Guards against one class that bears every refusal for being worth a hair less than another.
+/// Two classes of nearly the same priority weight (1 and 1.2) share the rejections. With a strict order, the
+/// lower class would bear all of them for a negligible difference.
 #[test]
-fn classes_of_nearly_equal_worth_are_shed_alike() {
-    let mut s = settings();
-    s.classes.push(Class { priority_weight: 1.2, ..class(Effect::Safe) });
-    let parts = overload(s, |step| (step % 2, step % 2, false));
-    assert!(parts[0] > 0.2 && parts[1] > 0.2, "{parts:?}");
+fn similar_classes_are_shed_alike() {
+    let mut settings = settings();
+    settings.classes.push(Class { priority_weight: 1.2, ..class(Effect::Safe) });
+    let rejected_shares = overload(settings, |step| (step % 2, step % 2, false));
+    assert!(rejected_shares[0] > 0.2 && rejected_shares[1] > 0.2, "{rejected_shares:?}");
 }
 
-/// Guards against one class that bears every refusal where the goal counts the class that is served worst.
+/// By priority weight alone, one class bears nearly all rejections. If the goal also counts the class that is
+/// served worst, both classes are shed alike.
 #[test]
-fn the_class_served_worst_is_spared_by_its_part_of_the_goal() {
-    let mut s = settings();
-    s.classes.push(Class { priority_weight: 3.0, ..class(Effect::Safe) });
-    let parts = overload(s.clone(), |step| (step % 2, step % 2, false));
-    assert!(parts[0] > parts[1] + 0.3, "the worth alone: {parts:?}");
-    s.objective_weights = ObjectiveWeights { overall: 0.55, worst_class: 0.35, ..s.objective_weights };
-    let parts = overload(s, |step| (step % 2, step % 2, false));
-    assert!((parts[0] - parts[1]).abs() < 0.1, "both alike: {parts:?}");
+fn worst_class_goal_equalizes_shedding() {
+    let mut settings = settings();
+    settings.classes.push(Class { priority_weight: 3.0, ..class(Effect::Safe) });
+    let rejected_shares = overload(settings.clone(), |step| (step % 2, step % 2, false));
+    assert!(rejected_shares[0] > rejected_shares[1] + 0.3, "by priority weight alone: {rejected_shares:?}");
+    settings.objective_weights =
+        ObjectiveWeights { overall: 0.55, worst_class: 0.35, ..settings.objective_weights };
+    let rejected_shares = overload(settings, |step| (step % 2, step % 2, false));
+    assert!(
+        (rejected_shares[0] - rejected_shares[1]).abs() < 0.1,
+        "with the worst class in the goal: {rejected_shares:?}"
+    );
 }
 
-/// Guards against late answers: a repeat has lost part of its latency objective before it comes.
+/// A client's retry has used up part of its latency objective before it arrives, so its response is more
+/// likely to be late. It is shed before first tries.
 #[test]
-fn known_repeats_are_shed_first() {
-    let s = settings();
-    let parts = overload(s, |step| (step % 2, 0, step % 2 == 1));
-    assert!(parts[1] > parts[0] + 0.3, "{parts:?}");
+fn client_retries_are_shed_first() {
+    let settings = settings();
+    let rejected_shares = overload(settings, |step| (step % 2, 0, step % 2 == 1));
+    assert!(rejected_shares[1] > rejected_shares[0] + 0.3, "{rejected_shares:?}");
 }
 
-/// Guards against a start that is forgotten before the first request has come.
+/// The initial concurrency limit must not decay while the balancer waits for its first request.
 #[test]
-fn the_start_of_the_concurrency_limit_outlasts_a_quiet_second() {
-    let mut s = settings();
-    s.balancer_count = 4;
-    let mut rig = Rig::new(s, endpoints(8));
-    rig.pass(1000.0);
-    assert_eq!(rig.sent_at_once(12, |_| {}).len(), 12);
+fn initial_limit_survives_idle_second() {
+    let mut settings = settings();
+    settings.balancer_count = 4;
+    let mut harness = Harness::new(settings, endpoints(8));
+    harness.advance(1000.0);
+    assert_eq!(harness.request_burst(12, |_| {}).len(), 12);
 }
 
-/// Guards against small balancers that never see the strain: a memory of 400 ms holds none of their answers.
+/// The overload signal of a busy balancer covers 400 ms. With one request every 500 ms, such a window would
+/// never hold an earlier response, and the balancer would not notice the overload.
 #[test]
-fn a_small_balancer_sees_strain() {
-    let mut s = settings();
-    s.limits.max_attempts = 1;
-    let mut rig = Rig::new(s, endpoints(30));
-    stream(&mut rig, 30_000.0, 500.0, |_, _| (190.0, Outcome::Served));
-    assert!(rig.refusals() > 15, "{} of 60", rig.refusals());
+fn low_traffic_balancer_detects_overload() {
+    let mut settings = settings();
+    settings.limits.max_attempts = 1;
+    let mut harness = Harness::new(settings, endpoints(30));
+    run_load(&mut harness, 30_000.0, 500.0, |_, _| (190.0, Outcome::Served));
+    assert!(harness.rejections() > 15, "{} of 60", harness.rejections());
 }
 
-/// Guards against a class shed in vain: most endpoints lose the other class's answers, so that one crowds the
-/// few that do not, and refusing what the others would have answered helps nobody.
+/// Four of six endpoints lose the responses to class 1, so that this class overloads the other two. Class 0
+/// is served everywhere; rejecting it because of the overload signal of class 1 would help nobody.
 #[test]
-fn a_class_is_not_shed_for_the_strain_of_one_that_lacks_endpoints() {
-    let mut s = settings();
-    s.classes.push(Class { priority_weight: 4.0, ..class(Effect::Unsafe) });
-    let mut rig = Rig::new(s, endpoints(6));
-    let mut open: Vec<(f64, RequestId, Outcome)> = Vec::new();
-    let (mut sent, mut all) = (0.0, 0.0);
+fn overload_of_one_class_spares_other() {
+    let mut settings = settings();
+    settings.classes.push(Class { priority_weight: 4.0, ..class(Effect::Unsafe) });
+    let mut harness = Harness::new(settings, endpoints(6));
+    let mut in_flight: Vec<(f64, RequestId, Outcome)> = Vec::new();
+    let (mut admitted, mut total) = (0.0, 0.0);
     for step in 0..1200 {
-        // The class that lacks endpoints comes half as often: it strains them without piling up.
+        // Class 1, which lacks endpoints, gets half as many requests: it overloads the two, but no backlog
+        // grows.
         for class in 0..2 - step % 2 {
-            let id = rig.request(class);
-            let first = rig.requests[&id].sent.first();
+            let id = harness.request(class);
+            let first = harness.requests[&id].attempts.first();
             if class == 0 && step >= 400 {
-                sent += f64::from(u8::from(first.is_some()));
-                all += 1.0;
+                admitted += f64::from(u8::from(first.is_some()));
+                total += 1.0;
             }
             let Some(first) = first else { continue };
-            let (after, outcome) = match (class, first.endpoint.0) {
+            let (latency, outcome) = match (class, first.endpoint.0) {
                 _ if step < 100 => (20.0, Outcome::Served),
                 (1, ..=4) => (399.0, Outcome::TimedOut),
                 (1, _) => (190.0, Outcome::Served),
                 _ => (20.0, Outcome::Served),
             };
-            open.push((rig.now + after, id, outcome));
+            in_flight.push((harness.now + latency, id, outcome));
         }
-        rig.pass(5.0);
-        let (due, rest): (Vec<_>, Vec<_>) = open.into_iter().partition(|o| o.0 <= rig.now);
-        open = rest;
+        harness.advance(5.0);
+        let (due, later): (Vec<_>, Vec<_>) =
+            in_flight.into_iter().partition(|attempt| attempt.0 <= harness.now);
+        in_flight = later;
         for (_, id, outcome) in due {
-            if rig.open(id).contains(&0) {
-                rig.finish(id, 0, outcome);
+            if harness.attempts_in_flight(id).contains(&0) {
+                harness.finish_attempt(id, 0, outcome);
             }
         }
     }
-    // The limit on open work still sheds some; the strain alone had shed nearly all.
-    assert!(sent / all > 0.6, "{sent} of {all}");
+    // The concurrency limit still sheds some; the overload signal of class 1 would shed nearly all.
+    assert!(admitted / total > 0.6, "{admitted} of {total}");
 }
 
-/// Guards against bodies that come slowly taken for endpoints that answer slowly: the client's time has not
-/// begun, and no endpoint works on them.
+/// While a client still sends its body, the request's time has not begun and no endpoint works on it. If such
+/// requests counted as slow, slow uploads would cause shedding.
 #[test]
-fn a_body_that_is_still_coming_is_no_strain() {
+fn pending_bodies_do_not_signal_overload() {
     for body_pending in [true, false] {
-        let mut rig = Rig::new(settings(), endpoints(3));
-        rig.serve(200, 0, |_| 20.0);
-        let patience = |new: &mut NewRequest| (new.body_pending, new.timeout) = (body_pending, 20_000.0);
-        let slow: Vec<RequestId> = (0..30).map(|_| rig.request_with(0, patience)).collect();
-        rig.pass(2000.0);
-        let refused = (0..50).filter(|_| {
-            let id = rig.request(0);
-            let refused = rig.requests[&id].ending == Some(Ending::Refused);
-            if !refused {
-                rig.finish(id, 0, Outcome::Served);
+        let mut harness = Harness::new(settings(), endpoints(3));
+        harness.serve_sequentially(200, 0, |_| 20.0);
+        let wait_long = |new: &mut NewRequest| (new.body_pending, new.timeout) = (body_pending, 20_000.0);
+        let uploads: Vec<RequestId> = (0..30).map(|_| harness.request_with(0, wait_long)).collect();
+        harness.advance(2000.0);
+        let rejected = (0..50).filter(|_| {
+            let id = harness.request(0);
+            let rejected = harness.requests[&id].final_outcome == Some(FinalOutcome::Rejected);
+            if !rejected {
+                harness.finish_attempt(id, 0, Outcome::Served);
             }
-            refused
+            rejected
         });
-        let refused = refused.count();
-        assert_eq!(refused > 0, !body_pending, "coming: {body_pending}, {refused} refused");
+        let rejected = rejected.count();
+        assert_eq!(rejected > 0, !body_pending, "body pending: {body_pending}, {rejected} rejected");
         if body_pending {
-            // Once they have come, they are work as any other.
-            for id in &slow {
-                rig.event(Event::BodyComplete { id: *id, timeout: 1000.0 });
+            // Complete bodies are work like any other.
+            for id in &uploads {
+                harness.handle_event(Event::BodyComplete { id: *id, timeout: 1000.0 });
             }
-            rig.pass(600.0);
+            harness.advance(600.0);
             assert!((0..50).any(|_| {
-                let id = rig.request(0);
-                rig.requests[&id].ending == Some(Ending::Refused)
+                let id = harness.request(0);
+                harness.requests[&id].final_outcome == Some(FinalOutcome::Rejected)
             }));
         }
     }
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A rig that drives one balancer by hand and checks the rules on every action.
-#![allow(dead_code, unused_imports)] // each test binary uses its own part
+//! What the tests of the balancer share: settings, a harness for one balancer, and a simulation of many.
+#![allow(dead_code, unused_imports)] // each test binary uses a different part
 
 pub mod fleet;
 mod rig;
@@ -20,7 +20,8 @@
     }
 }
 
-/// One safe class, one zone, one kind, everything allowed.
+/// Settings of a single balancer: one class of idempotent requests, one zone, one kind of endpoints; all
+/// features but hedging are allowed.
 pub fn settings() -> Settings {
     Settings {
         balancer_index: 0,
@@ -85,57 +86,62 @@
     EndpointEntry::new(EndpointId(id))
 }
 
-pub fn endpoints(n: u32) -> Vec<EndpointEntry> {
-    (1..=n).map(endpoint).collect()
+/// Endpoints 1 to `count`.
+pub fn endpoints(count: u32) -> Vec<EndpointEntry> {
+    (1..=count).map(endpoint).collect()
 }
 
-/// Runs a steady stream: one request every `gap`, each attempt ended by `fate` after its latency.
-pub fn stream(
-    rig: &mut Rig,
-    time: f64,
-    gap: f64,
-    fate: impl Fn(EndpointId, f64) -> (f64, Outcome),
+/// Passes one request of class 0 every `interval` to the balancer for `duration`.
+/// `attempt_end(endpoint, sent_at)` gives the latency and the outcome of each attempt. Returns the number of
+/// attempts to each endpoint.
+pub fn run_load(
+    harness: &mut Harness,
+    duration: f64,
+    interval: f64,
+    attempt_end: impl Fn(EndpointId, f64) -> (f64, Outcome),
 ) -> std::collections::BTreeMap<EndpointId, usize> {
-    let mut count = std::collections::BTreeMap::new();
-    let mut open: Vec<(f64, RequestId, u32, Outcome)> = Vec::new();
-    let mut noted: std::collections::BTreeMap<RequestId, usize> = Default::default();
-    let until = rig.now + time;
-    let mut next = rig.now;
-    while rig.now < until {
-        if rig.now >= next {
-            let id = rig.request(0);
-            noted.insert(id, 0);
-            next += gap;
+    let mut counts = std::collections::BTreeMap::new();
+    let mut in_flight: Vec<(f64, RequestId, u32, Outcome)> = Vec::new();
+    let mut attempts_seen: std::collections::BTreeMap<RequestId, usize> = Default::default();
+    let until = harness.now + duration;
+    let mut next_request_at = harness.now;
+    while harness.now < until {
+        if harness.now >= next_request_at {
+            let id = harness.request(0);
+            attempts_seen.insert(id, 0);
+            next_request_at += interval;
         }
-        for (id, seen) in &mut noted {
-            for (n, sent) in rig.requests[id].sent.iter().enumerate().skip(*seen) {
-                let (latency, outcome) = fate(sent.endpoint, sent.at);
-                *count.entry(sent.endpoint).or_insert(0) += 1;
-                open.push((sent.at + latency, *id, n as u32, outcome));
+        for (id, seen) in &mut attempts_seen {
+            for (index, attempt) in harness.requests[id].attempts.iter().enumerate().skip(*seen) {
+                let (latency, outcome) = attempt_end(attempt.endpoint, attempt.sent_at);
+                *counts.entry(attempt.endpoint).or_insert(0) += 1;
+                in_flight.push((attempt.sent_at + latency, *id, index as u32, outcome));
             }
-            *seen = rig.requests[id].sent.len();
+            *seen = harness.requests[id].attempts.len();
         }
-        let requests = &rig.requests;
-        noted.retain(|id, seen| requests[id].ending.is_none() || requests[id].sent.len() > *seen);
-        rig.pass(1.0);
-        let (due, rest): (Vec<_>, Vec<_>) = open.into_iter().partition(|o| o.0 <= rig.now);
-        open = rest;
-        for (_, id, n, outcome) in due {
-            if rig.open(id).contains(&n) {
-                rig.finish(id, n, outcome);
+        let requests = &harness.requests;
+        attempts_seen
+            .retain(|id, seen| requests[id].final_outcome.is_none() || requests[id].attempts.len() > *seen);
+        harness.advance(1.0);
+        let (due, later): (Vec<_>, Vec<_>) =
+            in_flight.into_iter().partition(|attempt| attempt.0 <= harness.now);
+        in_flight = later;
+        for (_, id, attempt, outcome) in due {
+            if harness.attempts_in_flight(id).contains(&attempt) {
+                harness.finish_attempt(id, attempt, outcome);
             }
         }
     }
-    // What is still out when the stream ends is served, so that nothing of it reaches into the next.
-    for id in rig.requests.keys().copied().collect::<Vec<_>>() {
-        for n in rig.open(id) {
-            rig.finish(id, n, Outcome::Served);
+    // Serve the attempts that are still in flight, so that they don't affect the next call.
+    for id in harness.requests.keys().copied().collect::<Vec<_>>() {
+        for attempt in harness.attempts_in_flight(id) {
+            harness.finish_attempt(id, attempt, Outcome::Served);
         }
     }
-    count
+    counts
 }
 
-/// A fate: the first endpoint fails at once, the others serve.
-pub fn first_fails(endpoint: EndpointId, _: f64) -> (f64, Outcome) {
+/// For [`run_load`]: endpoint 1 fails after 1 ms, the others serve after 20 ms.
+pub fn first_endpoint_fails(endpoint: EndpointId, _: f64) -> (f64, Outcome) {
     if endpoint == EndpointId(1) { (1.0, Outcome::Error) } else { (20.0, Outcome::Served) }
 }
--- a/balancer/tests/endpoint_list.rs
+++ b/balancer/tests/endpoint_list.rs
@@ -1,159 +1,185 @@
-//! The endpoint list: subsets, polls and watches, and what is not in the settings.
+//! The endpoint list: subsets, polls and watches of discovery, and invalid input.
 
 mod common;
 use balancer::*;
 use common::*;
 
-/// The endpoints that a quiet balancer of a hundred sends its next requests to.
-fn used(rig: &mut Rig) -> std::collections::BTreeSet<EndpointId> {
+/// The endpoints to which a balancer with little traffic sends its next 16 requests, at two a second.
+fn next_endpoints(harness: &mut Harness) -> std::collections::BTreeSet<EndpointId> {
     let endpoints = (0..16).map(|_| {
-        let id = rig.request(0);
-        rig.pass(20.0);
-        rig.finish(id, 0, Outcome::Served);
-        rig.pass(480.0);
-        rig.endpoint_of(id, 0)
+        let id = harness.request(0);
+        harness.advance(20.0);
+        harness.finish_attempt(id, 0, Outcome::Served);
+        harness.advance(480.0);
+        harness.endpoint_of(id, 0)
     });
     endpoints.collect()
 }
 
-/// Guards against an endpoint that the fleet crowds because chance put it into many small subsets.
+/// Each of 100 balancers with little traffic uses a small subset of the endpoints. With subsets drawn at
+/// random, some endpoints would be in many of them and be overloaded by the fleet.
 #[test]
-fn the_subsets_of_a_fleet_share_its_endpoints_evenly() {
-    let mut s = settings();
-    s.balancer_count = 100;
-    let mut shares = std::collections::BTreeMap::new();
-    for me in 0..100 {
-        let mut rig = Rig::seeded(Settings { balancer_index: me, ..s.clone() }, endpoints(20), u64::from(me));
-        used(&mut rig).into_iter().for_each(|endpoint| *shares.entry(endpoint).or_insert(0) += 1);
+fn subsets_cover_endpoints_evenly() {
+    let mut settings = settings();
+    settings.balancer_count = 100;
+    let mut subset_counts = std::collections::BTreeMap::new();
+    for balancer_index in 0..100 {
+        let mut harness = Harness::with_seed(
+            Settings { balancer_index, ..settings.clone() },
+            endpoints(20),
+            u64::from(balancer_index),
+        );
+        next_endpoints(&mut harness)
+            .into_iter()
+            .for_each(|endpoint| *subset_counts.entry(endpoint).or_insert(0) += 1);
     }
-    let (least, most) = (shares.values().min(), shares.values().max());
-    assert!(shares.len() == 20 && least >= Some(&8) && most <= Some(&12), "ten would be even: {shares:?}");
+    let (min, max) = (subset_counts.values().min(), subset_counts.values().max());
+    assert!(
+        subset_counts.len() == 20 && min >= Some(&8) && max <= Some(&12),
+        "each endpoint should be in about 10 subsets: {subset_counts:?}"
+    );
 }
 
+/// When an endpoint of the subset is ejected, another one takes its place.
 #[test]
-fn an_endpoint_that_rests_is_made_up_for_in_its_subset() {
-    let mut rig = Rig::new(Settings { balancer_count: 100, ..settings() }, endpoints(20));
-    let before = used(&mut rig);
-    let bad = *before.first().expect("some host");
-    let fails =
-        |h: EndpointId, _: f64| if h == bad { (1.0, Outcome::Error) } else { (20.0, Outcome::Served) };
-    stream(&mut rig, 12_000.0, 500.0, fails);
-    let count = stream(&mut rig, 12_000.0, 500.0, fails);
-    let others = count.keys().filter(|endpoint| **endpoint != bad).count();
-    assert!(others >= before.len(), "{before:?}, then {count:?}");
+fn ejected_endpoint_is_replaced_in_subset() {
+    let mut harness = Harness::new(Settings { balancer_count: 100, ..settings() }, endpoints(20));
+    let before = next_endpoints(&mut harness);
+    let failing_endpoint = *before.first().expect("no endpoint was used");
+    let attempt_end = |endpoint: EndpointId, _: f64| {
+        if endpoint == failing_endpoint { (1.0, Outcome::Error) } else { (20.0, Outcome::Served) }
+    };
+    run_load(&mut harness, 12_000.0, 500.0, attempt_end);
+    let count = run_load(&mut harness, 12_000.0, 500.0, attempt_end);
+    let others = count.keys().filter(|endpoint| **endpoint != failing_endpoint).count();
+    assert!(others >= before.len(), "before: {before:?}, after: {count:?}");
 }
 
 #[test]
-fn a_subscriber_watches_at_once_and_asks_again_with_backoff() {
-    let mut s = settings();
-    s.discovery_mode = DiscoveryMode::Pull;
-    s.contract.max_notification_delay = Some(10_000.0);
-    let mut rig = Rig::new(s, endpoints(2));
-    let watches = |rig: &Rig| rig.actions.iter().filter(|a| **a == Action::Watch).count();
-    assert_eq!(watches(&rig), 1);
-    rig.news(EndpointUpdate::Failed);
-    assert_eq!(watches(&rig), 1, "not at once");
-    rig.pass(1000.0);
-    assert_eq!(watches(&rig), 2);
+fn failed_watch_is_retried_with_backoff() {
+    let mut settings = settings();
+    settings.discovery_mode = DiscoveryMode::Pull;
+    settings.contract.max_notification_delay = Some(10_000.0);
+    let mut harness = Harness::new(settings, endpoints(2));
+    let watches = |harness: &Harness| harness.actions.iter().filter(|a| **a == Action::Watch).count();
+    assert_eq!(watches(&harness), 1);
+    harness.update_endpoints(EndpointUpdate::Failed);
+    assert_eq!(watches(&harness), 1, "retried without backoff");
+    harness.advance(1000.0);
+    assert_eq!(watches(&harness), 2);
     for _ in 0..6 {
-        rig.news(EndpointUpdate::Failed);
-        rig.pass(100.0);
+        harness.update_endpoints(EndpointUpdate::Failed);
+        harness.advance(100.0);
     }
-    assert!(watches(&rig) < 8, "it backs off");
-    rig.pass(8000.0);
-    let asked = watches(&rig);
-    rig.news(EndpointUpdate::Changes(Vec::new()));
-    rig.pass(20_000.0);
-    assert_eq!(watches(&rig), asked, "a watch that stands is not asked for again");
+    assert!(watches(&harness) < 8, "retried without increasing backoff");
+    harness.advance(8000.0);
+    let watches_before = watches(&harness);
+    harness.update_endpoints(EndpointUpdate::Changes(Vec::new()));
+    harness.advance(20_000.0);
+    assert_eq!(watches(&harness), watches_before, "established a second watch");
 }
 
-/// Guards against a discovery that a whole fleet asks at once, and again at once when that failed: its calls
-/// wait for each other until none is answered any more. And against a pause in which a change is not heard in
-/// time: it counts as told 6 s after discovery had it and could be reached, of which 3.2 s are for the call
-/// itself.
+/// When discovery fails, a whole fleet retries its watches. Without jitter all would retry at the same time,
+/// and their requests would queue up until discovery responds to none in time. The backoff must also be short
+/// enough to notice changes in time: a change counts as notified 6 s after discovery had it and could be
+/// reached, and 3.2 s of that are for the request itself.
 #[test]
-fn a_large_fleet_does_not_ask_discovery_together_and_asks_in_time() {
-    let mut s = settings();
-    s.balancer_count = 100;
-    s.discovery_mode = DiscoveryMode::Pull;
-    s.contract.max_notification_delay = Some(10_000.0);
-    let fleet = (0..100)
-        .map(|me| Rig::seeded(Settings { balancer_index: me, ..s.clone() }, endpoints(2), u64::from(me)));
-    let mut fleet: Vec<Rig> = fleet.collect();
-    let asked = |rig: &Rig| rig.actions.iter().filter(|a| **a == Action::Watch).count();
-    let (mut heard, mut last) = (vec![0; fleet.len()], vec![0; fleet.len()]);
-    let calls: Vec<usize> = (0..200)
+fn large_fleet_spreads_discovery_retries() {
+    let mut settings = settings();
+    settings.balancer_count = 100;
+    settings.discovery_mode = DiscoveryMode::Pull;
+    settings.contract.max_notification_delay = Some(10_000.0);
+    let fleet = (0..100).map(|balancer_index| {
+        Harness::with_seed(
+            Settings { balancer_index, ..settings.clone() },
+            endpoints(2),
+            u64::from(balancer_index),
+        )
+    });
+    let mut fleet: Vec<Harness> = fleet.collect();
+    let watches = |harness: &Harness| harness.actions.iter().filter(|a| **a == Action::Watch).count();
+    let (mut watches_seen, mut last_step) = (vec![0; fleet.len()], vec![0; fleet.len()]);
+    let retries_per_step: Vec<usize> = (0..200)
         .map(|step| {
-            let before = heard.iter().sum::<usize>();
-            for (rig, (heard, last)) in fleet.iter_mut().zip(heard.iter_mut().zip(&mut last)) {
-                if asked(rig) > *heard {
-                    (*heard, *last) = (asked(rig), step);
-                    rig.news(EndpointUpdate::Failed);
+            let before = watches_seen.iter().sum::<usize>();
+            for (harness, (watches_seen, last_step)) in
+                fleet.iter_mut().zip(watches_seen.iter_mut().zip(&mut last_step))
+            {
+                if watches(harness) > *watches_seen {
+                    (*watches_seen, *last_step) = (watches(harness), step);
+                    harness.update_endpoints(EndpointUpdate::Failed);
                 }
-                assert!(step - *last <= 29, "a pause of over 2.8 s");
-                rig.pass(100.0);
+                assert!(step - *last_step <= 29, "backoff longer than 2.8 s");
+                harness.advance(100.0);
             }
-            heard.iter().sum::<usize>() - before
+            watches_seen.iter().sum::<usize>() - before
         })
         .collect();
-    let (most, total) = (calls.iter().max().expect("some steps"), calls.iter().sum::<usize>());
-    // Full jitter over 2.8 s: a call each 1.4 s, and hardly ever three times as many at once as that.
-    assert!(*most <= 17 && total < 1400, "at most {most} in a tenth of a second, {total} in all");
-    // One that knows no endpoint cannot wait for a turn.
-    s.balancer_index = 7;
-    assert_eq!(asked(&Rig::new(s, Vec::new())), 1);
+    let (max, total) =
+        (retries_per_step.iter().max().expect("some steps"), retries_per_step.iter().sum::<usize>());
+    // With full jitter over 2.8 s, each balancer retries every 1.4 s on average, and hardly ever do three
+    // times as many retry in one step as that.
+    assert!(*max <= 17 && total < 1400, "at most {max} retries in 100 ms, {total} in 20 s");
+    // A balancer that knows no endpoint must not wait.
+    settings.balancer_index = 7;
+    assert_eq!(watches(&Harness::new(settings, Vec::new())), 1);
 }
 
-/// Guards against a fleet that finds out late what it missed while its watches were silent: the 2 s in which
-/// that shows leave less for the pause.
+/// Changes are missed while a watch is stalled. It takes 2 s to detect that, which leaves less time for the
+/// backoff before the watch is renewed.
 #[test]
-fn a_watch_that_broke_is_made_up_for_in_time() {
-    let s = Settings { balancer_count: 300, discovery_mode: DiscoveryMode::Pull, ..settings() };
-    for me in 0..100 {
-        let mut rig = Rig::seeded(Settings { balancer_index: me, ..s.clone() }, Vec::new(), u64::from(me));
-        let asked = |rig: &Rig| rig.actions.iter().filter(|a| **a == Action::Watch).count();
-        rig.news(EndpointUpdate::FullSnapshot(endpoints(2)));
-        let before = asked(&rig);
-        rig.news(EndpointUpdate::Failed);
-        assert_eq!(asked(&rig), before, "not at once");
-        rig.pass(800.0);
-        assert_eq!(asked(&rig), before + 1, "{me}");
+fn broken_watch_is_renewed_within_800_ms() {
+    let settings = Settings { balancer_count: 300, discovery_mode: DiscoveryMode::Pull, ..settings() };
+    for balancer_index in 0..100 {
+        let mut harness = Harness::with_seed(
+            Settings { balancer_index, ..settings.clone() },
+            Vec::new(),
+            u64::from(balancer_index),
+        );
+        let watches = |harness: &Harness| harness.actions.iter().filter(|a| **a == Action::Watch).count();
+        harness.update_endpoints(EndpointUpdate::FullSnapshot(endpoints(2)));
+        let before = watches(&harness);
+        harness.update_endpoints(EndpointUpdate::Failed);
+        assert_eq!(watches(&harness), before, "retried without backoff");
+        harness.advance(800.0);
+        assert_eq!(watches(&harness), before + 1, "balancer {balancer_index}");
     }
 }
 
 #[test]
-fn a_failed_call_keeps_the_list() {
-    let mut s = settings();
-    s.discovery_mode = DiscoveryMode::Pull;
-    let mut rig = Rig::new(s, endpoints(2));
-    rig.news(EndpointUpdate::Failed);
-    let id = rig.request(0);
-    assert_eq!(rig.requests[&id].sent.len(), 1);
+fn failed_watch_keeps_endpoint_list() {
+    let mut settings = settings();
+    settings.discovery_mode = DiscoveryMode::Pull;
+    let mut harness = Harness::new(settings, endpoints(2));
+    harness.update_endpoints(EndpointUpdate::Failed);
+    let id = harness.request(0);
+    assert_eq!(harness.requests[&id].attempts.len(), 1);
 }
 
 #[test]
-fn where_changes_are_pushed_nothing_is_asked() {
-    let mut rig = Rig::new(settings(), endpoints(2));
-    rig.news(EndpointUpdate::Failed);
-    rig.pass(20_000.0);
-    assert!(!rig.actions.iter().any(|a| matches!(a, Action::Watch | Action::Fetch)));
+fn automatic_discovery_is_never_polled() {
+    let mut harness = Harness::new(settings(), endpoints(2));
+    harness.update_endpoints(EndpointUpdate::Failed);
+    harness.advance(20_000.0);
+    assert!(!harness.actions.iter().any(|a| matches!(a, Action::Watch | Action::Fetch)));
 }
 
+/// A restarted endpoint is not held responsible for the failures of its previous process.
 #[test]
-fn a_restarted_process_starts_with_a_clean_slate() {
-    let mut rig = Rig::new(settings(), endpoints(4));
-    stream(&mut rig, 2000.0, 5.0, first_fails);
-    let cold = rig.settings.contract.warm_up;
-    rig.news(EndpointUpdate::Changes(vec![EndpointEntry {
-        started_at: Some(rig.now - cold),
+fn restart_ends_ejection() {
+    let mut harness = Harness::new(settings(), endpoints(4));
+    run_load(&mut harness, 2000.0, 5.0, first_endpoint_fails);
+    let warm_up = harness.settings.contract.warm_up;
+    harness.update_endpoints(EndpointUpdate::Changes(vec![EndpointEntry {
+        started_at: Some(harness.now - warm_up),
         ..endpoint(1)
     }]));
-    let count = stream(&mut rig, 1000.0, 5.0, |_, _| (20.0, Outcome::Served));
+    let count = run_load(&mut harness, 1000.0, 5.0, |_, _| (20.0, Outcome::Served));
     assert!(count[&EndpointId(1)] > 20, "{count:?}");
 }
 
 #[test]
-fn settings_that_make_no_sense_are_named() {
+fn invalid_settings_name_the_field() {
     type Change = fn(&mut Settings);
     let cases: [(&str, Change); 8] = [
         ("classes", |s| s.classes.clear()),
@@ -166,17 +192,17 @@
         ("prices.waste", |s| s.prices.waste = -0.1),
     ];
     for (field, change) in cases {
-        let mut s = settings();
-        change(&mut s);
-        let error = Balancer::new(s, 1).err().expect(field);
+        let mut settings = settings();
+        change(&mut settings);
+        let error = Balancer::new(settings, 1).err().expect(field);
         assert_eq!(error.field(), field);
         assert!(error.to_string().contains(field));
     }
 }
 
 #[test]
-fn news_of_things_unknown_is_ignored() {
-    let mut rig = Rig::new(settings(), endpoints(2));
+fn events_for_unknown_ids_are_ignored() {
+    let mut harness = Harness::new(settings(), endpoints(2));
     let id = RequestId(999);
     let end = AttemptEnd {
         id,
@@ -201,32 +227,35 @@
         },
     ];
     for event in events {
-        assert!(rig.event(event.clone()).is_empty(), "{event:?}");
+        assert!(harness.handle_event(event.clone()).is_empty(), "{event:?}");
     }
-    let known = rig.request(0);
-    rig.finish(known, 0, Outcome::Served);
-    let again = AttemptEnd { id: known, attempt: 0, ..end };
-    assert!(rig.event(Event::AttemptFinished(again)).is_empty(), "already over");
+    let served = harness.request(0);
+    harness.finish_attempt(served, 0, Outcome::Served);
+    let duplicate = AttemptEnd { id: served, attempt: 0, ..end };
+    assert!(
+        harness.handle_event(Event::AttemptFinished(duplicate)).is_empty(),
+        "the attempt has already ended"
+    );
 }
 
 #[test]
-fn a_class_that_does_not_exist_is_refused() {
-    let mut rig = Rig::new(settings(), endpoints(2));
-    let id = rig.request(7);
-    assert_eq!(rig.requests[&id].ending, Some(Ending::Refused));
+fn unknown_class_is_rejected() {
+    let mut harness = Harness::new(settings(), endpoints(2));
+    let id = harness.request(7);
+    assert_eq!(harness.requests[&id].final_outcome, Some(FinalOutcome::Rejected));
 }
 
-/// Guards against small balancers that spread a handful of answers over a large fleet and learn of no
-/// endpoint.
+/// A balancer with little traffic that spreads it over a large fleet gets too few responses from each
+/// endpoint to learn anything about it.
 #[test]
-fn a_balancer_with_few_answers_uses_a_part_of_the_endpoints() {
-    let used = |gap: f64| {
-        let mut rig = Rig::new(settings(), endpoints(40));
-        stream(&mut rig, 5000.0, gap, |_, _| (20.0, Outcome::Served));
-        let count = stream(&mut rig, 10_000.0, gap, |_, _| (20.0, Outcome::Served));
+fn low_traffic_balancer_uses_endpoint_subset() {
+    let endpoints_used = |interval: f64| {
+        let mut harness = Harness::new(settings(), endpoints(40));
+        run_load(&mut harness, 5000.0, interval, |_, _| (20.0, Outcome::Served));
+        let count = run_load(&mut harness, 10_000.0, interval, |_, _| (20.0, Outcome::Served));
         count.len()
     };
-    let (few, all) = (used(500.0), used(4.0));
+    let (few, all) = (endpoints_used(500.0), endpoints_used(4.0));
     assert!(few <= 6, "{few}");
     assert_eq!(all, 40);
 }
--- a/balancer/tests/fleet.rs
+++ b/balancer/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Many balancers together: what cold endpoints bear of all of them.
+//! Slow start in a fleet: all balancers together must not overload an endpoint in slow start, though they do
+//! not communicate.
 
 mod common;
 
@@ -8,345 +9,373 @@
 use common::fleet::*;
 use common::*;
 
-const FLEETS: [(u32, bool); 7] =
+/// Number of balancers, and whether one in ten of them gets half of the traffic.
+const SIZES_AND_SKEW: [(u32, bool); 7] =
     [(1, false), (4, false), (4, true), (30, false), (30, true), (300, false), (300, true)];
 
-/// Guards against cold endpoints that fall under the sum of what all send: where none was ever warm each
-/// balancer has one request to try each endpoint with.
+/// When all endpoints are in slow start, no balancer knows their capacity, and each balancer may try each
+/// endpoint with one request. The requests of all balancers together must not overload an endpoint.
 #[test]
-fn endpoints_that_are_all_cold_are_not_pushed_over_by_the_sum() {
-    for (count, skewed) in FLEETS {
-        let mut fleet = Fleet::new(count, skewed, (1..=4).map(|id| cold(id, 1000.0)).collect());
+fn starting_fleet_is_not_overloaded() {
+    for (count, skewed) in SIZES_AND_SKEW {
+        let mut fleet = Fleet::new(count, skewed, (1..=4).map(|id| started_endpoint(id, 1000.0)).collect());
         fleet.run(7000.0, 300.0);
         for id in 1..=4 {
-            let worst = fleet.worst(EndpointId(id), 0.0);
-            assert!(worst <= 1.0, "{count} balancers, skewed {skewed}: {worst} times what host {id} bears");
+            let peak_load = fleet.peak_load(EndpointId(id), 0.0);
+            assert!(
+                peak_load <= 1.0,
+                "{count} balancers, skewed {skewed}: {peak_load} times the capacity of endpoint {id}"
+            );
         }
         assert!(fleet.served > 150, "{count} balancers, skewed {skewed}: {} served", fleet.served);
     }
 }
 
-/// Guards against what all have saved up: the warm endpoints go at once, and a cold one is all that is left;
-/// then most of the balancers are started anew in the middle of its ramp.
+/// All warmed-up endpoints are removed at once, and only one in slow start remains. Then most balancers are
+/// restarted in the middle of its slow start. The budgets that all balancers have accumulated for it must not
+/// be spent together.
 #[test]
-fn a_cold_endpoint_that_is_left_alone_is_not_pushed_over_by_the_sum() {
-    for (count, skewed) in FLEETS {
-        let warm = |n: u32| (1..=n).map(endpoint).collect::<Vec<_>>();
-        let mut fleet = Fleet::new(count, skewed, warm(6));
+fn last_endpoint_in_slow_start_is_not_overloaded() {
+    for (count, skewed) in SIZES_AND_SKEW {
+        let warmed_up = |n: u32| (1..=n).map(endpoint).collect::<Vec<_>>();
+        let mut fleet = Fleet::new(count, skewed, warmed_up(6));
         fleet.run(3000.0, 80.0);
-        let (now, mut list) = (fleet.now(), warm(6));
-        list.push(cold(9, now));
-        fleet.tell(list.clone());
+        let (now, mut endpoint_list) = (fleet.now(), warmed_up(6));
+        endpoint_list.push(started_endpoint(9, now));
+        fleet.update_endpoints(endpoint_list.clone());
         fleet.run(2000.0, 80.0);
-        fleet.tell(list.split_off(6));
+        fleet.update_endpoints(endpoint_list.split_off(6));
         fleet.run(1500.0, 300.0);
-        fleet.restart(|me| me % 10 < 7);
+        fleet.restart(|index| index % 10 < 7);
         fleet.run(1500.0, 300.0);
-        let worst = fleet.worst(EndpointId(9), now);
-        assert!(worst <= 1.0, "{count} balancers, skewed {skewed}: {worst} times what it bears");
+        let peak_load = fleet.peak_load(EndpointId(9), now);
+        assert!(peak_load <= 1.0, "{count} balancers, skewed {skewed}: {peak_load} times its capacity");
     }
 }
 
-/// Guards against what all have saved up over a long time: a cold endpoint that could not be used for most of
-/// its ramp, while others like it were, is then all that is left.
+/// An endpoint is listed as draining for most of its slow start, while others like it are in use, and then it
+/// serves. The budgets that all balancers have accumulated for it over that time must not be spent together.
 #[test]
-fn savings_for_a_cold_endpoint_that_was_out_of_use_are_not_spent_together() {
-    let mut s = settings();
-    (s.contract.warm_up, s.contract.overload_window, s.contract.overload_multiple) = (20_000.0, 1000.0, 4.0);
+fn unused_budgets_are_not_spent_together() {
+    let mut settings = settings();
+    (settings.contract.warm_up, settings.contract.overload_window, settings.contract.overload_multiple) =
+        (20_000.0, 1000.0, 4.0);
     for count in [30, 300] {
-        let warm: Vec<EndpointEntry> = (1..=6).map(endpoint).collect();
-        let mut fleet = Fleet::under(s.clone(), count, false, warm.clone());
+        let warmed_up: Vec<EndpointEntry> = (1..=6).map(endpoint).collect();
+        let mut fleet = Fleet::with_settings(settings.clone(), count, false, warmed_up.clone());
         fleet.run(2000.0, 140.0);
-        let unused = EndpointEntry { state: EndpointState::Draining, ..cold(9, fleet.now()) };
-        fleet.tell(warm.into_iter().chain([unused.clone()]).collect());
+        let unused = EndpointEntry { state: EndpointState::Draining, ..started_endpoint(9, fleet.now()) };
+        fleet.update_endpoints(warmed_up.into_iter().chain([unused.clone()]).collect());
         fleet.run(15_000.0, 140.0);
-        fleet.tell(vec![EndpointEntry { state: EndpointState::Up, ..unused }]);
+        fleet.update_endpoints(vec![EndpointEntry { state: EndpointState::Up, ..unused }]);
         fleet.run(1500.0, 2000.0);
-        let worst = fleet.worst(EndpointId(9), 0.0);
-        assert!(worst <= 1.0, "{count} balancers: {worst} times what it bears");
+        let peak_load = fleet.peak_load(EndpointId(9), 0.0);
+        assert!(peak_load <= 1.0, "{count} balancers: {peak_load} times its capacity");
     }
 }
 
-/// The endpoints that are there before, and one that joins them.
-const WARM: [u32; 6] = [1, 2, 3, 4, 5, 6];
-const NEW: u32 = 9;
-/// Requests a second: little, a usual load for the warm ones, twice what they can do.
-const LITTLE: f64 = 3.0;
-const USUAL: f64 = 120.0;
-const BURST: f64 = 300.0;
-/// What keeps a request waiting at each balancer, also where many share it.
-const HEAVY: f64 = 1200.0;
-/// Times what balancers take a request to need before the first answer.
-const HARD_WORK: f64 = 4.0 * WORK;
+/// Endpoints that exist from the beginning.
+const INITIAL_ENDPOINTS: [u32; 6] = [1, 2, 3, 4, 5, 6];
+/// An endpoint that starts later.
+const NEW_ENDPOINT: u32 = 9;
+/// Requests per second, far below the capacity of the warmed-up endpoints.
+const LOW_LOAD: f64 = 3.0;
+/// Requests per second, 80 % of the capacity of the warmed-up endpoints.
+const NORMAL_LOAD: f64 = 120.0;
+/// Requests per second, twice the capacity of the warmed-up endpoints.
+const OVERLOAD: f64 = 300.0;
+/// Requests per second that keep a request waiting at each balancer, even if many balancers share them.
+const SUSTAINED_OVERLOAD: f64 = 1200.0;
+/// Four times the service time that balancers assume before the first response.
+const LONG_SERVICE_TIME_MS: f64 = 4.0 * SERVICE_TIME_MS;
 
-/// Colder and slower, with a shorter window.
-fn colder() -> Settings {
-    let mut s = settings();
-    (s.contract.initial_capacity, s.contract.warm_up) = (0.12, 20_000.0);
-    (s.contract.overload_window, s.contract.overload_multiple) = (1000.0, 4.0);
-    s
+/// Less initial capacity, a longer slow start, and a shorter overload window.
+fn slower_warm_up() -> Settings {
+    let mut settings = settings();
+    (settings.contract.initial_capacity, settings.contract.warm_up) = (0.12, 20_000.0);
+    (settings.contract.overload_window, settings.contract.overload_multiple) = (1000.0, 4.0);
+    settings
 }
 
-/// The traffic's parts: equal ones, and one that has half.
-fn shapes(count: u32) -> Vec<Vec<f64>> {
+/// Relative shares of the traffic: all equal, and one balancer with half of all traffic.
+fn traffic_shares(count: u32) -> Vec<Vec<f64>> {
     let equal = vec![1.0; count as usize];
     let mut half = equal.clone();
     half[count as usize / 2] = f64::from(count - 1);
     if count > 1 { vec![equal, half] } else { vec![equal] }
 }
 
-/// Plays a day with fleets of many sizes and seeds, where endpoints queue and where they do not. A day gives
-/// the endpoint and since when it is cold.
-fn bears(queues: &[bool], day: impl Fn(&mut Fleet) -> (u32, f64)) {
+/// Runs a scenario with fleets of several sizes, seeds and settings, and for each entry of `queues` with or
+/// without queues at the endpoints. The scenario returns an endpoint and the time from which this endpoint
+/// must not be overloaded.
+fn assert_no_overload(queues: &[bool], scenario: impl Fn(&mut Fleet) -> (u32, f64)) {
     for (count, seeds) in [(1, 4), (2, 4), (5, 4), (30, 3), (300, 1)] {
-        for (parts, s) in
-            shapes(count).into_iter().flat_map(|parts| [(parts.clone(), settings()), (parts, colder())])
+        for (shares, settings) in traffic_shares(count)
+            .into_iter()
+            .flat_map(|shares| [(shares.clone(), settings()), (shares, slower_warm_up())])
         {
             for (seed, queue) in (0..seeds).flat_map(|seed| queues.iter().map(move |queue| (seed, *queue))) {
-                let mut fleet = Fleet::seeded(s.clone(), parts.clone(), endpoints(6), seed);
-                fleet.queues = queue.then(BTreeMap::new);
-                let (id, from) = day(&mut fleet);
-                let (worst, most) =
-                    (fleet.worst(EndpointId(id), from), parts.iter().fold(0.0, |a: f64, b| a.max(*b)));
-                assert!(worst <= 1.0, "{count} balancers, one with {most} parts, {seed}, {queue}: {worst}");
+                let mut fleet = Fleet::with_seed(settings.clone(), shares.clone(), endpoints(6), seed);
+                fleet.queue_ends = queue.then(BTreeMap::new);
+                let (id, from) = scenario(&mut fleet);
+                let (peak_load, max_share) =
+                    (fleet.peak_load(EndpointId(id), from), shares.iter().fold(0.0, |a: f64, b| a.max(*b)));
+                assert!(
+                    peak_load <= 1.0,
+                    "{count} balancers, max share {max_share}, seed {seed}, queue {queue}: load {peak_load}"
+                );
             }
         }
     }
 }
 
 #[test]
-fn slow_start_binds_under_usual_load_and_overload() {
-    for load in [LITTLE, USUAL, BURST] {
-        bears(&[false, true], |fleet| {
+fn slow_start_limits_any_load() {
+    for load in [LOW_LOAD, NORMAL_LOAD, OVERLOAD] {
+        assert_no_overload(&[false, true], |fleet| {
             fleet.run(4000.0, load);
-            let from = fleet.start(&[NEW]);
+            let from = fleet.start_endpoints(&[NEW_ENDPOINT]);
             fleet.run(4000.0, load);
-            (NEW, from)
+            (NEW_ENDPOINT, from)
         });
     }
 }
 
 #[test]
-fn slow_start_binds_in_a_burst_after_quiet_time() {
-    for quiet in [0.0, 1.0, 40.0] {
-        bears(&[false, true], |fleet| {
-            fleet.run(4000.0, USUAL);
-            fleet.run(10_000.0, quiet);
-            let from = fleet.start(&[NEW]);
-            fleet.run(3000.0, quiet);
-            fleet.run(2000.0, 2.0 * BURST);
-            (NEW, from)
+fn slow_start_limits_burst_after_low_load() {
+    for low_load in [0.0, 1.0, 40.0] {
+        assert_no_overload(&[false, true], |fleet| {
+            fleet.run(4000.0, NORMAL_LOAD);
+            fleet.run(10_000.0, low_load);
+            let from = fleet.start_endpoints(&[NEW_ENDPOINT]);
+            fleet.run(3000.0, low_load);
+            fleet.run(2000.0, 2.0 * OVERLOAD);
+            (NEW_ENDPOINT, from)
         });
     }
 }
 
-/// The last warm one is jammed by what many sent: what it gets is no measure of what it can do.
+/// The only warmed-up endpoint is overloaded. What it is sent is no measure of what an endpoint can serve.
 #[test]
-fn slow_start_binds_beside_a_jammed_endpoint() {
-    bears(&[true], |fleet| {
-        fleet.run(4000.0, USUAL);
-        fleet.keep(&[6]);
-        fleet.run(1000.0, BURST);
-        let from = fleet.start(&[NEW]);
-        fleet.run(4000.0, BURST);
-        (NEW, from)
+fn slow_start_limits_beside_overloaded_endpoint() {
+    assert_no_overload(&[true], |fleet| {
+        fleet.run(4000.0, NORMAL_LOAD);
+        fleet.keep_only(&[6]);
+        fleet.run(1000.0, OVERLOAD);
+        let from = fleet.start_endpoints(&[NEW_ENDPOINT]);
+        fleet.run(4000.0, OVERLOAD);
+        (NEW_ENDPOINT, from)
     });
 }
 
-/// Errors come at once and draw retries: neither says what a warm endpoint can do, and retries are charged.
+/// Errors and rejections come at once and cause retries. They show nothing of what a warmed-up endpoint can
+/// serve, and retries are counted against the budget of an endpoint in slow start.
 #[test]
-fn slow_start_binds_for_retries_of_what_failed_elsewhere() {
-    for (conduct, load) in [(Conduct::Fails, USUAL), (Conduct::Fails, BURST), (Conduct::Rejects, BURST)] {
-        bears(&[false, true], |fleet| {
-            fleet.run(4000.0, USUAL);
-            let from = fleet.start(&[NEW]);
-            fleet.conducts(&WARM, conduct);
+fn slow_start_limits_retries() {
+    for (fault, load) in [(Fault::Fails, NORMAL_LOAD), (Fault::Fails, OVERLOAD), (Fault::Rejects, OVERLOAD)] {
+        assert_no_overload(&[false, true], |fleet| {
+            fleet.run(4000.0, NORMAL_LOAD);
+            let from = fleet.start_endpoints(&[NEW_ENDPOINT]);
+            fleet.inject_fault(&INITIAL_ENDPOINTS, fault);
             fleet.run(4000.0, load);
             assert!(fleet.retries > 10, "{} retries", fleet.retries);
-            (NEW, from)
+            (NEW_ENDPOINT, from)
         });
     }
 }
 
-/// The same where some are served: the more an endpoint fails, the more it can be sent.
+/// The warmed-up endpoints fail a part of the requests. The more of them fail, the more they can be sent,
+/// which must not count as capacity.
 #[test]
-fn slow_start_binds_where_endpoints_fail_some_of_what_they_are_sent() {
-    for of_ten in [2, 4, 6, 8] {
-        bears(&[false, true], |fleet| {
-            fleet.run(4000.0, USUAL);
-            let from = fleet.start(&[NEW]);
-            fleet.conducts(&WARM, Conduct::FailsSome(of_ten));
-            fleet.run(4000.0, BURST);
-            (NEW, from)
+fn slow_start_limits_with_partial_failures() {
+    for tenths in [2, 4, 6, 8] {
+        assert_no_overload(&[false, true], |fleet| {
+            fleet.run(4000.0, NORMAL_LOAD);
+            let from = fleet.start_endpoints(&[NEW_ENDPOINT]);
+            fleet.inject_fault(&INITIAL_ENDPOINTS, Fault::FailsTenths(tenths));
+            fleet.run(4000.0, OVERLOAD);
+            (NEW_ENDPOINT, from)
         });
     }
 }
 
-/// A fleet whose warm endpoints all fail is left with the cold one: what they were known to take before still
-/// counts.
+/// All warmed-up endpoints fail, and only the one in slow start is left. Its budget is still derived from
+/// what the others were known to serve before they failed.
 #[test]
-fn a_cold_endpoint_is_used_while_all_warm_ones_fail() {
-    let served = |fails: bool| {
-        let mut fleet = Fleet::seeded(settings(), vec![1.0; 5], endpoints(6), 0);
-        fleet.queues = Some(BTreeMap::new());
-        fleet.run(4000.0, USUAL);
-        fleet.start(&[NEW]);
-        if fails {
-            fleet.conducts(&WARM, Conduct::Fails);
+fn slow_start_endpoint_serves_when_others_fail() {
+    let attempts_to_new_endpoint = |others_fail: bool| {
+        let mut fleet = Fleet::with_seed(settings(), vec![1.0; 5], endpoints(6), 0);
+        fleet.queue_ends = Some(BTreeMap::new());
+        fleet.run(4000.0, NORMAL_LOAD);
+        fleet.start_endpoints(&[NEW_ENDPOINT]);
+        if others_fail {
+            fleet.inject_fault(&INITIAL_ENDPOINTS, Fault::Fails);
         }
-        fleet.run(7500.0, USUAL);
-        fleet.sent.iter().filter(|(_, endpoint)| *endpoint == EndpointId(NEW)).count()
+        fleet.run(7500.0, NORMAL_LOAD);
+        fleet.attempts.iter().filter(|(_, endpoint)| *endpoint == EndpointId(NEW_ENDPOINT)).count()
     };
-    let (alone, among_others) = (served(true), served(false));
-    assert!(2 * alone > among_others, "{alone} where all others fail, {among_others} where they serve");
+    let (alone, among_others) = (attempts_to_new_endpoint(true), attempts_to_new_endpoint(false));
+    assert!(2 * alone > among_others, "{alone} attempts if all others fail, {among_others} if they serve");
 }
 
 #[test]
-fn slow_start_binds_for_retries_where_no_endpoint_was_ever_warm() {
-    bears(&[false, true], |fleet| {
-        let from = fleet.start(&WARM);
-        fleet.conducts(&[1, 2, 4, 5, 6], Conduct::Fails);
-        fleet.run(6000.0, BURST);
+fn slow_start_limits_retries_in_starting_fleet() {
+    assert_no_overload(&[false, true], |fleet| {
+        let from = fleet.start_endpoints(&INITIAL_ENDPOINTS);
+        fleet.inject_fault(&[1, 2, 4, 5, 6], Fault::Fails);
+        fleet.run(6000.0, OVERLOAD);
         (3, from)
     });
 }
 
-/// Requests whose attempt hangs are sent again before the client's time is up.
+/// Attempts to stalled endpoints time out, and their requests are retried before the client's deadline.
 #[test]
-fn slow_start_binds_for_hedged_requests() {
-    bears(&[false], |fleet| {
-        fleet.run(4000.0, USUAL);
-        fleet.conducts(&[1, 2, 3], Conduct::Silent);
-        fleet.run(6000.0, USUAL);
-        let (from, before) = (fleet.start(&[NEW]), fleet.given_up);
-        fleet.conducts(&[4, 5, 6], Conduct::Silent);
-        fleet.run(4000.0, USUAL);
-        assert!(fleet.given_up > before, "nothing was given up");
-        (NEW, from)
+fn slow_start_limits_early_retries() {
+    assert_no_overload(&[false], |fleet| {
+        fleet.run(4000.0, NORMAL_LOAD);
+        fleet.inject_fault(&[1, 2, 3], Fault::Stalls);
+        fleet.run(6000.0, NORMAL_LOAD);
+        let (from, before) = (fleet.start_endpoints(&[NEW_ENDPOINT]), fleet.timed_out);
+        fleet.inject_fault(&[4, 5, 6], Fault::Stalls);
+        fleet.run(4000.0, NORMAL_LOAD);
+        assert!(fleet.timed_out > before, "no attempt timed out");
+        (NEW_ENDPOINT, from)
     });
 }
 
+/// During an upgrade, two processes with the same balancer index send requests.
 #[test]
-fn slow_start_binds_while_two_processes_of_one_number_send() {
-    for (started, load) in [(&[NEW][..], USUAL), (&WARM, BURST)] {
-        bears(&[false, true], |fleet| {
-            fleet.run(if started == [NEW] { 4000.0 } else { 0.0 }, load);
-            let from = fleet.start(started);
+fn slow_start_limits_during_upgrade() {
+    for (ids, load) in [(&[NEW_ENDPOINT][..], NORMAL_LOAD), (&INITIAL_ENDPOINTS, OVERLOAD)] {
+        assert_no_overload(&[false, true], |fleet| {
+            fleet.run(if ids == [NEW_ENDPOINT] { 4000.0 } else { 0.0 }, load);
+            let from = fleet.start_endpoints(ids);
             fleet.run(300.0, load);
-            fleet.double();
+            fleet.add_second_processes();
             fleet.run(4000.0, load);
-            (started[started.len() / 2], from)
+            (ids[ids.len() / 2], from)
         });
     }
-    bears(&[false, true], |fleet| {
-        fleet.keep(&[]);
-        let from = fleet.start(&[NEW]);
-        fleet.run(100.0, BURST);
-        fleet.double();
-        fleet.run(4000.0, BURST);
-        (NEW, from)
+    assert_no_overload(&[false, true], |fleet| {
+        fleet.keep_only(&[]);
+        let from = fleet.start_endpoints(&[NEW_ENDPOINT]);
+        fleet.run(100.0, OVERLOAD);
+        fleet.add_second_processes();
+        fleet.run(4000.0, OVERLOAD);
+        (NEW_ENDPOINT, from)
     });
 }
 
-/// Started again and again within the window, by itself or by operators: a warm one among others, or all of
-/// them.
+/// Endpoints restart again and again within the overload window, by themselves or by an operator: one
+/// endpoint among others that are warmed up, or all endpoints.
 #[test]
-fn slow_start_binds_over_several_starts_within_its_window() {
-    for (started, by_operator) in [(&[3][..], false), (&[3], true), (&WARM, false), (&WARM, true)] {
-        bears(&[false, true], |fleet| {
-            fleet.run(if started == [3] { 4000.0 } else { 0.0 }, USUAL);
+fn slow_start_limits_repeated_restarts() {
+    for (ids, by_operator) in
+        [(&[3][..], false), (&[3], true), (&INITIAL_ENDPOINTS, false), (&INITIAL_ENDPOINTS, true)]
+    {
+        assert_no_overload(&[false, true], |fleet| {
+            fleet.run(if ids == [3] { 4000.0 } else { 0.0 }, NORMAL_LOAD);
             let from = fleet.now();
             for _ in 0..8 {
                 match by_operator {
-                    true => started.iter().for_each(|id| fleet.put_back(EndpointId(*id))),
-                    false => drop(fleet.start(started)),
+                    true => ids.iter().for_each(|id| fleet.restart_by_operator(EndpointId(*id))),
+                    false => drop(fleet.start_endpoints(ids)),
                 }
-                fleet.run(200.0, BURST);
+                fleet.run(200.0, OVERLOAD);
             }
-            fleet.keep(&[3]);
-            fleet.run(2000.0, BURST);
+            fleet.keep_only(&[3]);
+            fleet.run(2000.0, OVERLOAD);
             (3, from)
         });
     }
 }
 
-/// Of the numbers of balancers, one in so many has two processes: none, that in the middle, one in ten.
-const DOUBLED: [Option<usize>; 3] = [None, Some(usize::MAX), Some(10)];
+/// Balancers that have two processes: none, the middle one, or one in ten.
+const SECOND_PROCESSES: [Option<usize>; 3] = [None, Some(usize::MAX), Some(10)];
 
-/// All are cold, and the work is four times what balancers take it for before an answer has taught them
-/// better: turns of balancers whose part an endpoint is not come on top of those that its round has.
+/// All endpoints are in slow start, and requests take four times as long as balancers assume before the first
+/// response has shown otherwise. Balancers whose subset does not include an endpoint must not take turns at
+/// it beyond those of its rotation.
 #[test]
-fn slow_start_binds_where_nothing_is_known_of_heavier_work() {
-    for nth in DOUBLED {
-        bears(&[false, true], |fleet| {
-            fleet.work = HARD_WORK;
-            let from = fleet.start(&WARM);
-            fleet.run(300.0, HEAVY);
-            nth.into_iter().for_each(|nth| fleet.double_each(nth));
-            fleet.run(6000.0, HEAVY);
-            fleet.worst_of(&WARM, from)
+fn slow_start_limits_unknown_long_requests() {
+    for nth in SECOND_PROCESSES {
+        assert_no_overload(&[false, true], |fleet| {
+            fleet.service_time_ms = LONG_SERVICE_TIME_MS;
+            let from = fleet.start_endpoints(&INITIAL_ENDPOINTS);
+            fleet.run(300.0, SUSTAINED_OVERLOAD);
+            nth.into_iter().for_each(|nth| fleet.add_second_process_each(nth));
+            fleet.run(6000.0, SUSTAINED_OVERLOAD);
+            fleet.most_loaded(&INITIAL_ENDPOINTS, from)
         });
     }
 }
 
-/// The same where turns have been left unused until a burst comes.
+/// The same, with a burst after a time in which most turns were left unused.
 #[test]
-fn slow_start_binds_in_a_burst_of_heavier_work() {
-    for nth in DOUBLED {
-        for quiet in [2500.0, 5500.0] {
-            bears(&[true], |fleet| {
-                fleet.work = HARD_WORK;
-                let from = fleet.start(&WARM);
-                nth.into_iter().for_each(|nth| fleet.double_each(nth));
-                fleet.run(quiet, LITTLE);
-                fleet.run(2000.0, HEAVY);
-                fleet.worst_of(&WARM, from)
+fn slow_start_limits_burst_of_long_requests() {
+    for nth in SECOND_PROCESSES {
+        for low_load_ms in [2500.0, 5500.0] {
+            assert_no_overload(&[true], |fleet| {
+                fleet.service_time_ms = LONG_SERVICE_TIME_MS;
+                let from = fleet.start_endpoints(&INITIAL_ENDPOINTS);
+                nth.into_iter().for_each(|nth| fleet.add_second_process_each(nth));
+                fleet.run(low_load_ms, LOW_LOAD);
+                fleet.run(2000.0, SUSTAINED_OVERLOAD);
+                fleet.most_loaded(&INITIAL_ENDPOINTS, from)
             });
         }
     }
 }
 
-/// All client proxies at once, or one in ten, know nothing any more in the middle of the ramp.
+/// All balancers, or one in ten, are restarted without state in the middle of the slow start.
 #[test]
-fn slow_start_binds_where_processes_are_replaced_under_heavier_work() {
+fn slow_start_limits_after_balancer_restarts() {
     for nth in [1, 10] {
-        bears(&[true], |fleet| {
-            fleet.work = HARD_WORK;
-            let from = fleet.start(&WARM);
-            fleet.run(3500.0, HEAVY);
-            fleet.restart(|me| me % nth == 0);
-            fleet.run(3000.0, HEAVY);
-            fleet.worst_of(&WARM, from)
+        assert_no_overload(&[true], |fleet| {
+            fleet.service_time_ms = LONG_SERVICE_TIME_MS;
+            let from = fleet.start_endpoints(&INITIAL_ENDPOINTS);
+            fleet.run(3500.0, SUSTAINED_OVERLOAD);
+            fleet.restart(|index| index % nth == 0);
+            fleet.run(3000.0, SUSTAINED_OVERLOAD);
+            fleet.most_loaded(&INITIAL_ENDPOINTS, from)
         });
     }
 }
 
-/// Where the part of a balancer is ejected, an endpoint that is cold makes up for it at none but those whose
-/// part it is.
+/// All warmed-up endpoints begin to fail in the middle of a slow start. When the endpoints of a balancer's
+/// subset are ejected, an endpoint in slow start that is not in the subset must not replace them.
 #[test]
-fn slow_start_binds_where_all_warm_endpoints_fail_in_the_middle_of_the_ramp() {
-    for (conduct, load) in [(Conduct::Fails, BURST), (Conduct::Rejects, BURST), (Conduct::Silent, USUAL)] {
-        bears(&[false, true], |fleet| {
-            fleet.run(4000.0, USUAL);
-            let from = fleet.start(&[NEW]);
-            fleet.run(2000.0, USUAL);
-            fleet.conducts(&WARM, conduct);
+fn slow_start_limits_when_others_fail() {
+    for (fault, load) in [(Fault::Fails, OVERLOAD), (Fault::Rejects, OVERLOAD), (Fault::Stalls, NORMAL_LOAD)]
+    {
+        assert_no_overload(&[false, true], |fleet| {
+            fleet.run(4000.0, NORMAL_LOAD);
+            let from = fleet.start_endpoints(&[NEW_ENDPOINT]);
+            fleet.run(2000.0, NORMAL_LOAD);
+            fleet.inject_fault(&INITIAL_ENDPOINTS, fault);
             fleet.run(4000.0, load);
-            (NEW, from)
+            (NEW_ENDPOINT, from)
         });
     }
 }
 
-/// Turns of one balancer that come at the same time are of use to one request only, however the endpoints are
-/// named.
+/// If turns of one balancer at several endpoints came at the same time, only one of them could be used. Turns
+/// are spread over time whatever the identifiers of the endpoints.
 #[test]
-fn cold_endpoints_serve_alike_whatever_their_names() {
-    for (count, skewed) in FLEETS {
+fn slow_start_is_independent_of_endpoint_ids() {
+    for (count, skewed) in SIZES_AND_SKEW {
         for first in [1, 5, 9, 40] {
-            let mut fleet =
-                Fleet::new(count, skewed, (first..first + 4).map(|id| cold(id, 1000.0)).collect());
+            let mut fleet = Fleet::new(
+                count,
+                skewed,
+                (first..first + 4).map(|id| started_endpoint(id, 1000.0)).collect(),
+            );
             fleet.run(7000.0, 300.0);
-            assert!(fleet.served > 150, "{count} balancers, skewed {skewed}, from {first}: {}", fleet.served);
+            assert!(
+                fleet.served > 150,
+                "{count} balancers, skewed {skewed}, first id {first}: {} served",
+                fleet.served
+            );
         }
     }
 }
--- a/balancer/tests/locality.rs
+++ b/balancer/tests/locality.rs
@@ -1,116 +1,139 @@
-//! Zones: keeping close, leaving one that fails as one thing, and the slow return. Time and chance are the
-//! tests' own.
+//! Locality: traffic stays in the own zone, a zone that fails as a whole is ejected, and its traffic returns
+//! gradually. The tests run on virtual time.
 
 mod common;
 
 use std::collections::BTreeMap;
 
 use balancer::*;
-use common::{Ending, Rig, class, endpoint, settings};
+use common::{FinalOutcome, Harness, class, endpoint, settings};
 
-/// What becomes of an attempt: after so long, this; or nothing, until somebody gives it up.
-type Fate = Option<(f64, Outcome)>;
+/// How an attempt ends: its latency and outcome, or `None` if it gets no response and has to time out.
+type ScriptedEnd = Option<(f64, Outcome)>;
 
-const SERVED: Fate = Some((20.0, Outcome::Served));
-/// How finely time passes.
-const STEP: f64 = 5.0;
+const SERVED: ScriptedEnd = Some((20.0, Outcome::Served));
+/// Resolution of the simulated time.
+const STEP_MS: f64 = 5.0;
 
-/// Three zones, the third in a region of its own, with two kinds of three endpoints in each; endpoint 12 is
-/// the third one of kind 1 in zone 0.
+/// Three zones, the third in a region of its own, with three endpoints of each of two kinds. Endpoint n is in
+/// zone n / 6 and of kind n % 2.
 fn zoned() -> (Settings, Vec<EndpointEntry>) {
-    let mut s = settings();
-    (s.zone_count, s.kind_count) = (3, 2);
-    s.locality = Some(Locality { own_zone: Some(0), regions: vec![0, 0, 1] });
+    let mut settings = settings();
+    (settings.zone_count, settings.kind_count) = (3, 2);
+    settings.locality = Some(Locality { own_zone: Some(0), regions: vec![0, 0, 1] });
     let list =
         (0..18).map(|n| EndpointEntry { zone: zone_of(EndpointId(n)), kind: n as usize % 2, ..endpoint(n) });
-    (s, list.collect())
+    (settings, list.collect())
 }
 
 fn zone_of(endpoint: EndpointId) -> usize {
     endpoint.0 as usize / 6
 }
 
-struct World {
-    rig: Rig,
-    live: Vec<RequestId>,
-    seen: usize,
-    next: f64,
-    asked: usize,
-    /// Of each attempt: when, and to whom.
-    sends: Vec<(f64, EndpointId)>,
+struct Simulation {
+    harness: Harness,
+    /// Requests without a final response or with an attempt in flight.
+    open_requests: Vec<RequestId>,
+    /// Number of the harness's actions that have been processed.
+    actions_seen: usize,
+    next_request_at: f64,
+    request_count: usize,
+    /// Time and endpoint of each attempt.
+    attempts: Vec<(f64, EndpointId)>,
 }
 
-impl World {
-    fn new((s, list): (Settings, Vec<EndpointEntry>)) -> World {
-        let rig = Rig::new(s, list);
-        let next = rig.now;
-        World { rig, live: Vec::new(), seen: 0, next, asked: 0, sends: Vec::new() }
+impl Simulation {
+    fn new((settings, list): (Settings, Vec<EndpointEntry>)) -> Simulation {
+        let harness = Harness::new(settings, list);
+        let next_request_at = harness.now;
+        Simulation {
+            harness,
+            open_requests: Vec::new(),
+            actions_seen: 0,
+            next_request_at,
+            request_count: 0,
+            attempts: Vec::new(),
+        }
     }
 
-    /// Requests every `gap`, for `lasts`, each attempt with the fate that its endpoint gives it.
-    fn run(&mut self, lasts: f64, gap: f64, mut fate: impl FnMut(EndpointId, f64, usize) -> Fate) {
-        let (until, mut fates) = (self.rig.now + lasts, BTreeMap::<(RequestId, u32), Fate>::new());
-        while self.rig.now < until {
-            while self.next <= self.rig.now {
-                self.next += gap;
-                self.asked += 1;
-                let class = self.asked % self.rig.settings.classes.len();
-                let id = self.rig.request(class);
-                self.live.push(id);
+    /// Passes a request to the balancer every `interval` for `duration`, of each class in turn.
+    /// `attempt_end(endpoint, sent_at, class)` decides how each attempt ends.
+    fn run(
+        &mut self,
+        duration: f64,
+        interval: f64,
+        mut attempt_end: impl FnMut(EndpointId, f64, usize) -> ScriptedEnd,
+    ) {
+        let (until, mut ends) =
+            (self.harness.now + duration, BTreeMap::<(RequestId, u32), ScriptedEnd>::new());
+        while self.harness.now < until {
+            while self.next_request_at <= self.harness.now {
+                self.next_request_at += interval;
+                self.request_count += 1;
+                let class = self.request_count % self.harness.settings.classes.len();
+                let id = self.harness.request(class);
+                self.open_requests.push(id);
             }
-            self.follow();
-            for id in self.live.clone() {
-                for n in self.rig.open(id) {
-                    let (at, endpoint) =
-                        (self.rig.requests[&id].sent[n as usize].at, self.rig.endpoint_of(id, n as usize));
-                    let class = self.rig.requests[&id].class;
-                    let fate = *fates.entry((id, n)).or_insert_with(|| fate(endpoint, at, class));
-                    let timeout = self.rig.requests[&id].sent[n as usize].timeout;
-                    if let Some((_, outcome)) = fate.filter(|(after, _)| at + after <= self.rig.now) {
-                        self.rig.finish(id, n, outcome);
-                    } else if timeout.is_some_and(|timeout| at + timeout <= self.rig.now) {
-                        self.rig.finish(id, n, Outcome::TimedOut);
+            self.process_actions();
+            for id in self.open_requests.clone() {
+                for attempt in self.harness.attempts_in_flight(id) {
+                    let (sent_at, endpoint) = (
+                        self.harness.requests[&id].attempts[attempt as usize].sent_at,
+                        self.harness.endpoint_of(id, attempt as usize),
+                    );
+                    let class = self.harness.requests[&id].class;
+                    let end =
+                        *ends.entry((id, attempt)).or_insert_with(|| attempt_end(endpoint, sent_at, class));
+                    let timeout = self.harness.requests[&id].attempts[attempt as usize].timeout;
+                    if let Some((_, outcome)) =
+                        end.filter(|(latency, _)| sent_at + latency <= self.harness.now)
+                    {
+                        self.harness.finish_attempt(id, attempt, outcome);
+                    } else if timeout.is_some_and(|timeout| sent_at + timeout <= self.harness.now) {
+                        self.harness.finish_attempt(id, attempt, Outcome::TimedOut);
                     }
                 }
             }
-            self.follow();
-            self.rig.pass(STEP);
-            let rig = &self.rig;
-            self.live.retain(|id| rig.requests[id].ending.is_none() || !rig.open(*id).is_empty());
+            self.process_actions();
+            self.harness.advance(STEP_MS);
+            let harness = &self.harness;
+            self.open_requests.retain(|id| {
+                harness.requests[id].final_outcome.is_none() || !harness.attempts_in_flight(*id).is_empty()
+            });
         }
     }
 
-    /// Notes what was sent, and ends what was cancelled.
-    fn follow(&mut self) {
-        while let Some(action) = self.rig.actions.get(self.seen).cloned() {
-            self.seen += 1;
+    /// Records the attempts that were sent, and ends those that were cancelled.
+    fn process_actions(&mut self) {
+        while let Some(action) = self.harness.actions.get(self.actions_seen).cloned() {
+            self.actions_seen += 1;
             match action {
-                Action::Send { endpoint, .. } => self.sends.push((self.rig.now, endpoint)),
-                Action::Cancel { id, attempt } if self.rig.open(id).contains(&attempt) => {
-                    self.rig.finish(id, attempt, Outcome::Cancelled);
+                Action::Send { endpoint, .. } => self.attempts.push((self.harness.now, endpoint)),
+                Action::Cancel { id, attempt } if self.harness.attempts_in_flight(id).contains(&attempt) => {
+                    self.harness.finish_attempt(id, attempt, Outcome::Cancelled);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Attempts to each zone since `from`.
-    fn to_zones(&self, from: f64) -> [usize; 3] {
-        let mut count = [0; 3];
-        self.sends
+    /// Number of attempts to each zone since `from`.
+    fn attempts_by_zone(&self, from: f64) -> [usize; 3] {
+        let mut counts = [0; 3];
+        self.attempts
             .iter()
             .filter(|(at, _)| *at >= from)
-            .for_each(|(_, endpoint)| count[zone_of(*endpoint)] += 1);
-        count
+            .for_each(|(_, endpoint)| counts[zone_of(*endpoint)] += 1);
+        counts
     }
 
-    fn left(&self) -> Vec<usize> {
-        self.rig.balancer.ejected_zones().iter().map(|left| left.zone).collect()
+    fn ejected_zones(&self) -> Vec<usize> {
+        self.harness.balancer.ejected_zones().iter().map(|ejected| ejected.zone).collect()
     }
 }
 
-/// Endpoints that work on one request after another, each for 20 ms.
-fn queues() -> impl FnMut(EndpointId, f64, usize) -> Fate {
+/// For [`Simulation::run`]: each endpoint serves one request at a time, in 20 ms.
+fn queueing_endpoints() -> impl FnMut(EndpointId, f64, usize) -> ScriptedEnd {
     let mut free = BTreeMap::<EndpointId, f64>::new();
     move |endpoint, at, _| {
         let done = free.get(&endpoint).copied().unwrap_or(0.0).max(at) + 20.0;
@@ -119,279 +142,298 @@
     }
 }
 
-/// Guards against traffic that crosses zones though the own one has room.
 #[test]
-fn traffic_stays_in_its_zone_while_that_has_room() {
-    let mut world = World::new(zoned());
-    world.run(5000.0, 20.0, queues());
-    let [own, near, far] = world.to_zones(0.0);
+fn traffic_below_capacity_stays_in_own_zone() {
+    let mut simulation = Simulation::new(zoned());
+    simulation.run(5000.0, 20.0, queueing_endpoints());
+    let [own, near, far] = simulation.attempts_by_zone(0.0);
     assert!(own > 200 && near + far <= own / 100, "{own} {near} {far}");
 }
 
-/// Guards against an own zone that jams, and against more than what it cannot do going elsewhere: six
-/// endpoints do 300 a second, 400 are asked for, so 100 have to go.
+/// The own zone must not be overloaded, but no more than its excess may go to other zones: its six endpoints
+/// serve 300 requests per second, 400 arrive, so 100 have to go elsewhere.
 #[test]
-fn what_the_own_zone_cannot_do_goes_to_the_next_and_hardly_more() {
-    let mut world = World::new(zoned());
-    world.run(10_000.0, 2.5, queues());
-    let (from, refused) = (world.rig.now, world.rig.refusals());
-    world.run(10_000.0, 2.5, queues());
-    let [own, near, far] = world.to_zones(from);
+fn only_excess_traffic_spills_to_near_zone() {
+    let mut simulation = Simulation::new(zoned());
+    simulation.run(10_000.0, 2.5, queueing_endpoints());
+    let (from, rejected) = (simulation.harness.now, simulation.harness.rejections());
+    simulation.run(10_000.0, 2.5, queueing_endpoints());
+    let [own, near, far] = simulation.attempts_by_zone(from);
     let spilled = (near + far) as f64 / (own + near + far) as f64;
     assert!((0.25..0.32).contains(&spilled), "{spilled}: {own} {near} {far}");
     assert!(far < near / 4, "{near} {far}");
-    assert_eq!(world.rig.refusals(), refused, "nothing is refused that another zone can do");
+    assert_eq!(simulation.harness.rejections(), rejected, "rejected a request that another zone could serve");
 }
 
-/// Guards against a zone whose endpoints each have to cost requests before it is left, and against effects
-/// that happen twice meanwhile: the rig fails where an unsafe request is sent again.
+/// If each endpoint of a failed zone had to be ejected by itself, every one of them would cost requests. The
+/// harness fails if an unsafe request is retried meanwhile.
 #[test]
-fn a_silent_zone_is_left_in_well_under_a_second() {
-    let (mut s, list) = zoned();
-    s.classes = vec![class(Effect::Safe), class(Effect::Unsafe)];
-    let mut world = World::new((s, list));
-    world.run(3000.0, 20.0, |_, _, _| SERVED);
-    let lost = world.rig.now;
-    let dead = |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED };
-    world.run(500.0, 20.0, dead);
-    assert_eq!(world.left(), [0]);
-    let from = world.rig.now;
-    world.run(2000.0, 20.0, dead);
-    let [own, near, _] = world.to_zones(from);
-    assert!(own <= 3 && near > 90, "trials alone: {own}, {near}");
-    assert!(world.to_zones(lost)[0] < 30, "{:?}", world.to_zones(lost));
-    let failed = |taken: &&common::Taken| taken.ending == Some(Ending::Failed);
-    assert!(world.rig.requests.values().filter(failed).count() > 0, "what may have run has failed");
+fn stalled_zone_is_ejected_within_500_ms() {
+    let (mut settings, list) = zoned();
+    settings.classes = vec![class(Effect::Safe), class(Effect::Unsafe)];
+    let mut simulation = Simulation::new((settings, list));
+    simulation.run(3000.0, 20.0, |_, _, _| SERVED);
+    let failed_at = simulation.harness.now;
+    let attempt_end = |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED };
+    simulation.run(500.0, 20.0, attempt_end);
+    assert_eq!(simulation.ejected_zones(), [0]);
+    let from = simulation.harness.now;
+    simulation.run(2000.0, 20.0, attempt_end);
+    let [own, near, _] = simulation.attempts_by_zone(from);
+    assert!(
+        own <= 3 && near > 90,
+        "more than trial requests to the ejected zone: {own}, {near} to the near one"
+    );
+    assert!(simulation.attempts_by_zone(failed_at)[0] < 30, "{:?}", simulation.attempts_by_zone(failed_at));
+    let failed = |request: &&common::TrackedRequest| request.final_outcome == Some(FinalOutcome::Failed);
+    assert!(simulation.harness.requests.values().filter(failed).count() > 0, "no unsafe request failed");
 }
 
-/// Guards against a client proxy with little traffic that goes on losing requests to a zone for good.
+/// With one request per second, a client proxy must still notice that a zone has failed; otherwise it would
+/// lose requests to that zone for good.
 #[test]
-fn a_quiet_client_proxy_leaves_a_silent_zone_too() {
-    let mut world = World::new(zoned());
-    world.run(20_000.0, 1000.0, |_, _, _| SERVED);
-    let dead = |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED };
-    world.run(8000.0, 1000.0, dead);
-    assert_eq!(world.left(), [0]);
+fn low_traffic_proxy_ejects_stalled_zone() {
+    let mut simulation = Simulation::new(zoned());
+    simulation.run(20_000.0, 1000.0, |_, _, _| SERVED);
+    let attempt_end = |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED };
+    simulation.run(8000.0, 1000.0, attempt_end);
+    assert_eq!(simulation.ejected_zones(), [0]);
 }
 
-/// Guards against healthy zones that are left for what is no failure of theirs: one kind that is bad
-/// everywhere, one class whose answers are lost, a zone that is only slow.
+/// A zone must not be ejected for other failures than its own: a kind that fails in all zones, a class whose
+/// responses are lost, or a zone that is only slow.
 #[test]
-fn what_only_looks_like_a_lost_zone_takes_none_out() {
-    type Case = (&'static str, fn(EndpointId, f64, usize) -> Fate);
+fn partial_failures_eject_no_zone() {
+    type Case = (&'static str, fn(EndpointId, f64, usize) -> ScriptedEnd);
     let cases: [Case; 4] = [
         ("a kind", |endpoint, _, _| if endpoint.0 % 2 == 1 { None } else { SERVED }),
         ("a class", |endpoint, _, class| if zone_of(endpoint) == 0 && class == 1 { None } else { SERVED }),
         ("a class everywhere", |_, _, class| if class == 1 { None } else { SERVED }),
         ("slow", |endpoint, _, _| Some((if zone_of(endpoint) == 0 { 170.0 } else { 20.0 }, Outcome::Served))),
     ];
-    for (name, fate) in cases {
-        let (mut s, list) = zoned();
-        s.classes = vec![class(Effect::Safe), class(Effect::Unsafe)];
-        let mut world = World::new((s, list));
-        world.run(3000.0, 20.0, |_, _, _| SERVED);
-        world.run(1000.0, 20.0, fate);
+    for (name, attempt_end) in cases {
+        let (mut settings, list) = zoned();
+        settings.classes = vec![class(Effect::Safe), class(Effect::Unsafe)];
+        let mut simulation = Simulation::new((settings, list));
+        simulation.run(3000.0, 20.0, |_, _, _| SERVED);
+        simulation.run(1000.0, 20.0, attempt_end);
         for _ in 0..20 {
-            world.run(100.0, 20.0, fate);
-            assert!(!world.left().contains(&0), "{name} at {}", world.rig.now);
+            simulation.run(100.0, 20.0, attempt_end);
+            assert!(!simulation.ejected_zones().contains(&0), "{name} at {}", simulation.harness.now);
         }
     }
 }
 
-/// Guards against a zone left for its one kind that all traffic goes to: the other one, which is slower,
-/// still serves.
+/// All traffic goes to the faster kind, and this kind stalls in all zones. No zone must be ejected for that,
+/// since the slower kind still serves in each.
 #[test]
-fn a_fast_kind_that_falls_silent_everywhere_takes_no_zone_out() {
-    let mut world = World::new(zoned());
+fn stalled_fast_kind_ejects_no_zone() {
+    let mut simulation = Simulation::new(zoned());
     let slow = |endpoint: EndpointId| endpoint.0.is_multiple_of(2);
-    world.run(3000.0, 20.0, |endpoint, _, _| {
+    simulation.run(3000.0, 20.0, |endpoint, _, _| {
         Some((if slow(endpoint) { 60.0 } else { 10.0 }, Outcome::Served))
     });
     for _ in 0..20 {
-        world.run(100.0, 20.0, |endpoint, _, _| slow(endpoint).then_some((60.0, Outcome::Served)));
-        assert_eq!(world.left(), [0; 0], "at {}", world.rig.now);
+        simulation.run(100.0, 20.0, |endpoint, _, _| slow(endpoint).then_some((60.0, Outcome::Served)));
+        assert_eq!(simulation.ejected_zones(), [0; 0], "at {}", simulation.harness.now);
     }
 }
 
-/// Guards against the own network taken for the zones': where nothing answers nothing is avoided, operators
-/// are told what it may be, and the first answers bring the own zone back with no ramp.
+/// If no zone responds, the fault is most likely in the client proxy's own network. That is reported to
+/// operators, and the own zone gets its traffic back with the first responses instead of gradually.
 #[test]
-fn where_all_zones_fail_it_is_the_own_network() {
-    let mut world = World::new(zoned());
-    world.run(3000.0, 20.0, |_, _, _| SERVED);
-    world.run(3000.0, 20.0, |_, _, _| None);
-    let left = world.rig.balancer.ejected_zones();
-    assert!(left.len() == 3 && left.iter().all(|left| left.own_network_suspected), "{left:?}");
-    let back = world.rig.now;
-    world.run(4000.0, 20.0, |_, _, _| SERVED);
-    assert_eq!(world.left(), [0; 0]);
-    let [own, near, far] = world.to_zones(back + 2000.0);
+fn failure_of_all_zones_is_own_network() {
+    let mut simulation = Simulation::new(zoned());
+    simulation.run(3000.0, 20.0, |_, _, _| SERVED);
+    simulation.run(3000.0, 20.0, |_, _, _| None);
+    let ejected = simulation.harness.balancer.ejected_zones();
+    assert!(ejected.len() == 3 && ejected.iter().all(|zone| zone.own_network_suspected), "{ejected:?}");
+    let recovered_at = simulation.harness.now;
+    simulation.run(4000.0, 20.0, |_, _, _| SERVED);
+    assert_eq!(simulation.ejected_zones(), [0; 0]);
+    let [own, near, far] = simulation.attempts_by_zone(recovered_at + 2000.0);
     assert!(own > 6 * (near + far), "{own} {near} {far}");
 }
 
-/// Guards against a cold zone that gets all of its traffic at once, and one that never gets it again.
+/// The endpoints of a zone that recovers are in slow start: with all of its traffic at once they would be
+/// overloaded. In the end the zone must get all of its traffic again.
 #[test]
-fn a_zone_that_returns_is_tried_then_ramped() {
-    let mut world = World::new(zoned());
-    let cold = world.rig.settings.contract.warm_up;
-    world.run(3000.0, 20.0, |_, _, _| SERVED);
-    world.run(2000.0, 20.0, |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED });
-    let back = world.rig.now;
+fn recovered_zone_regains_traffic_gradually() {
+    let mut simulation = Simulation::new(zoned());
+    let warm_up = simulation.harness.settings.contract.warm_up;
+    simulation.run(3000.0, 20.0, |_, _, _| SERVED);
+    simulation.run(2000.0, 20.0, |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED });
+    let recovered_at = simulation.harness.now;
     let entries =
-        (0..6).map(|n| EndpointEntry { started_at: Some(back), kind: n as usize % 2, ..endpoint(n) });
-    world.rig.news(EndpointUpdate::Changes(entries.collect()));
+        (0..6).map(|n| EndpointEntry { started_at: Some(recovered_at), kind: n as usize % 2, ..endpoint(n) });
+    simulation.harness.update_endpoints(EndpointUpdate::Changes(entries.collect()));
     let mut shares = Vec::new();
-    for _ in 0..(2.0 * cold / 500.0) as usize {
-        let from = world.rig.now;
-        world.run(500.0, 20.0, |_, _, _| SERVED);
-        let [own, near, far] = world.to_zones(from);
+    for _ in 0..(2.0 * warm_up / 500.0) as usize {
+        let from = simulation.harness.now;
+        simulation.run(500.0, 20.0, |_, _, _| SERVED);
+        let [own, near, far] = simulation.attempts_by_zone(from);
         shares.push(own as f64 / (own + near + far) as f64);
     }
     assert!(shares[0] < 0.3, "{shares:?}");
     assert!(shares.last().is_some_and(|share| *share > 0.9), "{shares:?}");
 }
 
-/// Guards against a zone that comes and goes and costs as much each time.
+/// Each ejection lasts longer than the one before; otherwise every failure of a flapping zone would cost as
+/// many requests as the first.
 #[test]
-fn a_zone_that_flaps_rests_longer_each_time() {
-    let mut world = World::new(zoned());
-    world.run(3000.0, 20.0, |_, _, _| SERVED);
-    let mut lost = Vec::new();
+fn flapping_zone_is_ejected_longer_each_time() {
+    let mut simulation = Simulation::new(zoned());
+    simulation.run(3000.0, 20.0, |_, _, _| SERVED);
+    let mut attempts_lost = Vec::new();
     for _ in 0..6 {
-        let from = world.rig.now;
-        world.run(3000.0, 20.0, |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED });
-        lost.push(world.to_zones(from)[0]);
-        world.run(3000.0, 20.0, |_, _, _| SERVED);
+        let from = simulation.harness.now;
+        simulation.run(3000.0, 20.0, |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED });
+        attempts_lost.push(simulation.attempts_by_zone(from)[0]);
+        simulation.run(3000.0, 20.0, |_, _, _| SERVED);
     }
-    let last: usize = lost[3..].iter().sum();
-    assert!(last <= lost[0], "{lost:?}");
+    let last: usize = attempts_lost[3..].iter().sum();
+    assert!(last <= attempts_lost[0], "{attempts_lost:?}");
 }
 
-/// Guards against a keyed request that waits for a zone which is being left, or whose repeat leaves the zone
-/// that knows its key: it fails, and soon. The rig fails where the repeat goes elsewhere.
+/// A request whose idempotency key is known only in the failed zone must fail soon instead of waiting for
+/// that zone. The harness fails if it is retried in another zone.
 #[test]
-fn a_keyed_request_of_a_zone_that_is_left_fails_and_is_not_repeated_elsewhere() {
-    let (mut s, list) = zoned();
-    s.classes = vec![class(Effect::Keyed { scope: KeyScope::Zone, ttl: 5000.0 })];
-    let mut world = World::new((s, list));
-    world.run(3000.0, 20.0, |_, _, _| SERVED);
-    let lost = world.rig.now;
-    let reset = |endpoint, _, _| if zone_of(endpoint) == 0 { Some((30.0, Outcome::Reset)) } else { SERVED };
-    world.run(2000.0, 20.0, reset);
-    assert_eq!(world.left(), [0]);
-    let mut failed = world.rig.requests.values().filter(|taken| taken.ending == Some(Ending::Failed));
+fn zone_keyed_request_fails_with_its_zone() {
+    let (mut settings, list) = zoned();
+    settings.classes = vec![class(Effect::Keyed { scope: KeyScope::Zone, ttl: 5000.0 })];
+    let mut simulation = Simulation::new((settings, list));
+    simulation.run(3000.0, 20.0, |_, _, _| SERVED);
+    let failed_at = simulation.harness.now;
+    let attempt_end =
+        |endpoint, _, _| if zone_of(endpoint) == 0 { Some((30.0, Outcome::Reset)) } else { SERVED };
+    simulation.run(2000.0, 20.0, attempt_end);
+    assert_eq!(simulation.ejected_zones(), [0]);
+    let mut failed = simulation
+        .harness
+        .requests
+        .values()
+        .filter(|request| request.final_outcome == Some(FinalOutcome::Failed));
+    assert!(
+        failed.all(|request| request.ended_at < request.attempts[0].sent_at + 200.0),
+        "request failed long after its attempt had ended"
+    );
     assert!(
-        failed.all(|taken| taken.ended_at < taken.sent[0].at + 200.0),
-        "as soon as its attempt has ended"
+        simulation.attempts_by_zone(failed_at + 1000.0)[1] > 40,
+        "{:?}",
+        simulation.attempts_by_zone(failed_at + 1000.0)
     );
-    assert!(world.to_zones(lost + 1000.0)[1] > 40, "{:?}", world.to_zones(lost + 1000.0));
-    let trials = world.rig.requests.values().filter(|taken| {
-        taken.sent.first().is_some_and(|sent| sent.at > lost + 500.0 && zone_of(sent.endpoint) == 0)
+    let trials = simulation.harness.requests.values().filter(|request| {
+        request
+            .attempts
+            .first()
+            .is_some_and(|sent| sent.sent_at > failed_at + 500.0 && zone_of(sent.endpoint) == 0)
     });
-    let attempts: Vec<usize> = trials.map(|taken| taken.sent.len()).collect();
+    let attempts: Vec<usize> = trials.map(|request| request.attempts.len()).collect();
     assert!(
         !attempts.is_empty() && attempts.iter().all(|n| *n == 1),
-        "a trial is no more than one: {attempts:?}"
+        "a trial request was retried: {attempts:?}"
     );
 }
 
-/// Guards against a client proxy without a zone that has none to leave, and against one zone name that is
-/// taken for near.
+/// A client proxy that does not know its own zone must not prefer any zone, and it must still eject a zone
+/// that fails.
 #[test]
-fn without_an_own_zone_all_are_alike_and_one_that_fails_is_left() {
-    let (mut s, list) = zoned();
-    s.locality = Some(Locality { own_zone: None, regions: vec![0, 0, 1] });
-    let mut world = World::new((s, list));
-    world.run(5000.0, 1.5, queues());
-    let counts = world.to_zones(0.0);
+fn proxy_without_zone_uses_all_zones() {
+    let (mut settings, list) = zoned();
+    settings.locality = Some(Locality { own_zone: None, regions: vec![0, 0, 1] });
+    let mut simulation = Simulation::new((settings, list));
+    simulation.run(5000.0, 1.5, queueing_endpoints());
+    let counts = simulation.attempts_by_zone(0.0);
     assert!(counts.iter().all(|n| *n > 700), "{counts:?}");
-    world.run(1000.0, 5.0, |endpoint, _, _| if zone_of(endpoint) == 1 { None } else { SERVED });
-    assert_eq!(world.left(), [1]);
+    simulation.run(1000.0, 5.0, |endpoint, _, _| if zone_of(endpoint) == 1 { None } else { SERVED });
+    assert_eq!(simulation.ejected_zones(), [1]);
 }
 
-/// Guards against an endpoint that stays in the zone it was first listed in.
+/// An endpoint counts in the zone of its latest list entry, not in the one that it was first listed in.
 #[test]
-fn an_endpoint_that_changes_its_zone_goes_with_it() {
-    let mut world = World::new(zoned());
-    world.run(2000.0, 20.0, |_, _, _| SERVED);
-    let moved = (0..6).map(|n| EndpointEntry { zone: 1, kind: n as usize % 2, ..endpoint(n) });
-    let came = (6..12).map(|n| EndpointEntry { zone: 0, kind: n as usize % 2, ..endpoint(n) });
-    world.rig.news(EndpointUpdate::Changes(moved.chain(came).collect()));
-    let from = world.rig.now;
-    world.run(2000.0, 20.0, |_, _, _| SERVED);
-    let [was_own, is_own, far] = world.to_zones(from);
+fn endpoint_can_move_to_another_zone() {
+    let mut simulation = Simulation::new(zoned());
+    simulation.run(2000.0, 20.0, |_, _, _| SERVED);
+    let moved_out = (0..6).map(|n| EndpointEntry { zone: 1, kind: n as usize % 2, ..endpoint(n) });
+    let moved_in = (6..12).map(|n| EndpointEntry { zone: 0, kind: n as usize % 2, ..endpoint(n) });
+    simulation.harness.update_endpoints(EndpointUpdate::Changes(moved_out.chain(moved_in).collect()));
+    let from = simulation.harness.now;
+    simulation.run(2000.0, 20.0, |_, _, _| SERVED);
+    let [was_own, is_own, far] = simulation.attempts_by_zone(from);
     assert!(is_own > 90 && was_own + far == 0, "{was_own} {is_own} {far}");
 }
 
-/// Guards against a long way that is taken for slowness: a kind that was seen over it alone is still the
-/// faster one at home.
+/// The latency to a far zone must not count as slowness of a kind: a kind that was used only there is still
+/// known as the faster one when it appears in the own zone.
 #[test]
-fn the_way_to_a_far_zone_is_no_slowness_of_a_kind() {
-    let (s, mut list) = zoned();
-    // At home there is only the slow kind, until later; the fast one is far away.
+fn distance_does_not_make_kind_slow() {
+    let (settings, mut list) = zoned();
+    // At first the own zone has only the slow kind, and the fast kind is far away.
     list.retain(|entry| entry.zone != 1 && (entry.zone == 2 || entry.kind == 0));
-    let fast = |endpoint: EndpointId| if endpoint.0 % 2 == 1 { 10.0 } else { 40.0 };
-    let fate = move |endpoint: EndpointId, _, _| {
-        let way = if zone_of(endpoint) == 2 { 80.0 } else { 0.0 };
-        Some((fast(endpoint) + way, Outcome::Served))
+    let service_time = |endpoint: EndpointId| if endpoint.0 % 2 == 1 { 10.0 } else { 40.0 };
+    let attempt_end = move |endpoint: EndpointId, _, _| {
+        let network_latency = if zone_of(endpoint) == 2 { 80.0 } else { 0.0 };
+        Some((service_time(endpoint) + network_latency, Outcome::Served))
     };
-    let mut world = World::new((s, list));
-    world.run(3000.0, 20.0, fate);
-    // The own zone falls silent for a while, so that all is learnt over the long way.
-    world.run(
-        4000.0,
-        20.0,
-        move |endpoint, at, class| if zone_of(endpoint) == 0 { None } else { fate(endpoint, at, class) },
-    );
-    world.run(10_000.0, 20.0, fate);
-    let came = (0..6).map(|n| EndpointEntry { zone: 0, kind: n as usize % 2, ..endpoint(n) });
-    world.rig.news(EndpointUpdate::Changes(came.collect()));
-    let from = world.rig.now;
-    world.run(200.0, 20.0, fate);
-    let to_fast = world.sends.iter().filter(|(at, endpoint)| *at >= from && endpoint.0 % 2 == 1).count();
+    let mut simulation = Simulation::new((settings, list));
+    simulation.run(3000.0, 20.0, attempt_end);
+    // The own zone stalls for a while, so that all responses come from the far zone.
+    simulation.run(4000.0, 20.0, move |endpoint, at, class| {
+        if zone_of(endpoint) == 0 { None } else { attempt_end(endpoint, at, class) }
+    });
+    simulation.run(10_000.0, 20.0, attempt_end);
+    let moved_in = (0..6).map(|n| EndpointEntry { zone: 0, kind: n as usize % 2, ..endpoint(n) });
+    simulation.harness.update_endpoints(EndpointUpdate::Changes(moved_in.collect()));
+    let from = simulation.harness.now;
+    simulation.run(200.0, 20.0, attempt_end);
+    let to_fast =
+        simulation.attempts.iter().filter(|(at, endpoint)| *at >= from && endpoint.0 % 2 == 1).count();
     assert!(to_fast >= 8, "{to_fast} of 10");
 }
 
-/// Guards against a pause of the process itself that passes for a zone's silence: what has come meanwhile is
-/// read after the timers that came due.
+/// After a pause of the client proxy's own process, overdue timers fire before the responses that have
+/// arrived meanwhile are read. That must not look like a stalled zone.
 #[test]
-fn a_pause_of_the_process_itself_takes_no_zone_out() {
-    let mut world = World::new(zoned());
-    world.run(3000.0, 20.0, |_, _, _| SERVED);
-    assert!(world.rig.sent_at_once(8, |_| {}).len() == 8, "enough is out for it to matter");
-    world.rig.now += 600.0;
-    world.rig.pass(0.0);
-    assert_eq!(world.left(), [0; 0]);
+fn pause_of_own_process_ejects_no_zone() {
+    let mut simulation = Simulation::new(zoned());
+    simulation.run(3000.0, 20.0, |_, _, _| SERVED);
+    assert!(
+        simulation.harness.request_burst(8, |_| {}).len() == 8,
+        "too few attempts in flight for the test to be meaningful"
+    );
+    simulation.harness.now += 600.0;
+    simulation.harness.advance(0.0);
+    assert_eq!(simulation.ejected_zones(), [0; 0]);
 }
 
-/// Guards against endpoints that all pause for a moment, as a loaded machine makes them, and pass for a lost
-/// zone because they are fast otherwise.
+/// On a loaded machine, all endpoints can pause for a moment. Since they are fast otherwise, 120 ms is long
+/// compared with their usual latency, but it is no sign of a failed zone.
 #[test]
-fn a_short_pause_of_fast_endpoints_takes_no_zone_out() {
-    let mut world = World::new(zoned());
-    world.run(3000.0, 5.0, |_, _, _| Some((4.0, Outcome::Served)));
-    let on = world.rig.now + 120.0;
-    world.run(120.0, 5.0, |_, at, _| Some((on - at, Outcome::Served)));
-    assert_eq!(world.left(), [0; 0]);
-    world.run(500.0, 5.0, |_, _, _| Some((4.0, Outcome::Served)));
-    assert_eq!(world.left(), [0; 0]);
+fn short_pause_of_all_endpoints_ejects_no_zone() {
+    let mut simulation = Simulation::new(zoned());
+    simulation.run(3000.0, 5.0, |_, _, _| Some((4.0, Outcome::Served)));
+    let resumed_at = simulation.harness.now + 120.0;
+    simulation.run(120.0, 5.0, |_, sent_at, _| Some((resumed_at - sent_at, Outcome::Served)));
+    assert_eq!(simulation.ejected_zones(), [0; 0]);
+    simulation.run(500.0, 5.0, |_, _, _| Some((4.0, Outcome::Served)));
+    assert_eq!(simulation.ejected_zones(), [0; 0]);
 }
 
-/// Guards against a zone that was left and that the list has taken out since: it has nobody to be tried with,
-/// and requests that try it all the same would go to any zone in place of the near one.
+/// An ejected zone whose endpoints have all been removed has nothing to send trial requests to. Requests
+/// chosen as trials would go to any zone instead of the near one.
 #[test]
-fn a_zone_that_is_left_and_then_gone_from_the_list_is_not_tried() {
-    let mut world = World::new(zoned());
-    world.run(3000.0, 20.0, |_, _, _| SERVED);
-    let dead = |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED };
-    world.run(600.0, 20.0, dead);
-    assert_eq!(world.left(), [0]);
-    let gone =
+fn ejected_zone_without_endpoints_is_not_tried() {
+    let mut simulation = Simulation::new(zoned());
+    simulation.run(3000.0, 20.0, |_, _, _| SERVED);
+    let attempt_end = |endpoint, _, _| if zone_of(endpoint) == 0 { None } else { SERVED };
+    simulation.run(600.0, 20.0, attempt_end);
+    assert_eq!(simulation.ejected_zones(), [0]);
+    let removed =
         (0..6).map(|n| EndpointEntry { state: EndpointState::Removed, kind: n as usize % 2, ..endpoint(n) });
-    world.rig.news(EndpointUpdate::Changes(gone.collect()));
-    world.run(5000.0, 20.0, dead);
-    let from = world.rig.now;
-    world.run(5000.0, 20.0, dead);
-    let [own, near, far] = world.to_zones(from);
+    simulation.harness.update_endpoints(EndpointUpdate::Changes(removed.collect()));
+    simulation.run(5000.0, 20.0, attempt_end);
+    let from = simulation.harness.now;
+    simulation.run(5000.0, 20.0, attempt_end);
+    let [own, near, far] = simulation.attempts_by_zone(from);
     assert!(own == 0 && near > 200 && far <= 5, "{own} {near} {far}");
 }
--- a/balancer/tests/retries.rs
+++ b/balancer/tests/retries.rs
@@ -1,156 +1,171 @@
-//! Retries and attempts that are given up: budget, limit, streams and cancelled attempts.
+//! Retries and attempt timeouts: retry budget, attempt limit, streamed responses, and cancelled attempts.
 
 mod common;
 use balancer::*;
 use common::*;
 
 #[test]
-fn retries_stay_within_their_budget() {
-    let mut rig = Rig::new(settings(), endpoints(6));
-    stream(&mut rig, 1000.0, 5.0, |_, _| (20.0, Outcome::Served));
-    let before: usize = rig.requests.values().map(|r| r.sent.len().saturating_sub(1)).sum();
-    let first = rig.requests.len();
-    stream(&mut rig, 5000.0, 5.0, |_, _| (2.0, Outcome::Error));
-    let after: usize = rig.requests.values().map(|r| r.sent.len().saturating_sub(1)).sum();
-    let share = (after - before) as f64 / (rig.requests.len() - first) as f64;
+fn retries_stay_within_budget() {
+    let mut harness = Harness::new(settings(), endpoints(6));
+    run_load(&mut harness, 1000.0, 5.0, |_, _| (20.0, Outcome::Served));
+    let before: usize =
+        harness.requests.values().map(|request| request.attempts.len().saturating_sub(1)).sum();
+    let first = harness.requests.len();
+    run_load(&mut harness, 5000.0, 5.0, |_, _| (2.0, Outcome::Error));
+    let after: usize =
+        harness.requests.values().map(|request| request.attempts.len().saturating_sub(1)).sum();
+    let share = (after - before) as f64 / (harness.requests.len() - first) as f64;
     assert!(share > 0.02 && share < 0.25, "{share}");
 }
 
 #[test]
-fn what_was_never_written_is_sent_elsewhere_without_the_retry_budget() {
+fn unsent_attempts_need_no_retry_budget() {
     for outcome in [Outcome::ConnectFailed, Outcome::NeverSent] {
-        let mut rig = Rig::new(settings(), endpoints(6));
+        let mut harness = Harness::new(settings(), endpoints(6));
         let exhausted = (0..200).any(|_| {
-            let id = rig.request(0);
-            rig.finish(id, 0, Outcome::Rejected);
-            for attempt in rig.open(id) {
-                rig.finish(id, attempt, Outcome::Served);
+            let id = harness.request(0);
+            harness.finish_attempt(id, 0, Outcome::Rejected);
+            for attempt in harness.attempts_in_flight(id) {
+                harness.finish_attempt(id, attempt, Outcome::Served);
             }
-            rig.requests[&id].sent.len() == 1
+            harness.requests[&id].attempts.len() == 1
         });
-        assert!(exhausted, "the budget was never spent");
-        let id = rig.request(0);
-        rig.finish(id, 0, outcome);
-        assert_eq!(rig.requests[&id].sent.len(), 2, "{outcome:?}");
+        assert!(exhausted, "the retry budget was never exhausted");
+        let id = harness.request(0);
+        harness.finish_attempt(id, 0, outcome);
+        assert_eq!(harness.requests[&id].attempts.len(), 2, "{outcome:?}");
     }
 }
 
 #[test]
-fn a_stream_that_began_is_left_alone() {
-    let mut s = settings();
-    s.classes[0].streamed = true;
-    let mut rig = Rig::new(s, endpoints(3));
-    let id = rig.request(0);
-    rig.requests.get_mut(&id).unwrap().streaming = true;
-    rig.event(Event::FirstByte { id, attempt: 0 });
-    rig.pass(5000.0);
-    assert_eq!(rig.requests[&id].ending, None);
-    assert_eq!(rig.requests[&id].sent.len(), 1);
-    assert!(!rig.actions.iter().any(|a| matches!(a, Action::Cancel { .. })));
-    rig.finish(id, 0, Outcome::Reset);
-    rig.pass(100.0);
-    assert_eq!(rig.requests[&id].sent.len(), 1);
+fn started_stream_is_not_retried_or_cancelled() {
+    let mut settings = settings();
+    settings.classes[0].streamed = true;
+    let mut harness = Harness::new(settings, endpoints(3));
+    let id = harness.request(0);
+    harness.requests.get_mut(&id).unwrap().streaming = true;
+    harness.handle_event(Event::FirstByte { id, attempt: 0 });
+    harness.advance(5000.0);
+    assert_eq!(harness.requests[&id].final_outcome, None);
+    assert_eq!(harness.requests[&id].attempts.len(), 1);
+    assert!(!harness.actions.iter().any(|a| matches!(a, Action::Cancel { .. })));
+    harness.finish_attempt(id, 0, Outcome::Reset);
+    harness.advance(100.0);
+    assert_eq!(harness.requests[&id].attempts.len(), 1);
 }
 
 #[test]
-fn what_is_out_for_a_client_that_has_gone_is_called_off_where_that_is_allowed() {
+fn disconnect_cancels_attempt_if_allowed() {
     for allowed in [true, false] {
-        let mut s = settings();
-        s.limits.cancellation = allowed;
-        let mut rig = Rig::new(s, endpoints(3));
-        let id = rig.request(0);
-        let out = rig.gone(id);
-        assert_eq!(out.contains(&Action::Cancel { id, attempt: 0 }), allowed);
+        let mut settings = settings();
+        settings.limits.cancellation = allowed;
+        let mut harness = Harness::new(settings, endpoints(3));
+        let id = harness.request(0);
+        let actions = harness.disconnect_client(id);
+        assert_eq!(actions.contains(&Action::Cancel { id, attempt: 0 }), allowed);
     }
 }
 
-/// Guards against connection tables filled by many balancers that each keep a connection they hardly use.
+/// Many balancers that each keep a connection they hardly use would fill the connection tables of the
+/// endpoints.
 #[test]
-fn a_connection_that_is_hardly_used_is_closed() {
-    let closed = |gap: f64| {
-        let mut rig = Rig::new(settings(), endpoints(3));
-        stream(&mut rig, 10_000.0, gap, |_, _| (20.0, Outcome::Served));
-        rig.actions.iter().filter(|a| matches!(a, Action::CloseIdleConnections { .. })).count()
+fn rarely_used_connections_are_closed() {
+    let closed_count = |interval: f64| {
+        let mut harness = Harness::new(settings(), endpoints(3));
+        run_load(&mut harness, 10_000.0, interval, |_, _| (20.0, Outcome::Served));
+        harness.actions.iter().filter(|a| matches!(a, Action::CloseIdleConnections { .. })).count()
     };
-    assert!(closed(2000.0) >= 4);
-    assert_eq!(closed(30.0), 0);
+    assert!(closed_count(2000.0) >= 4);
+    assert_eq!(closed_count(30.0), 0);
 }
 
-/// Guards against lost answers where second copies are forbidden: once overdue attempts are seen to stay
-/// unanswered, an attempt is given up early enough for another to meet the latency objective.
+/// Hedging is not allowed, and part of the responses is lost. Once the balancer has seen that overdue
+/// attempts get no response, it sets a timeout that leaves time for a retry within the latency objective.
 #[test]
-fn lost_answers_are_given_up_in_time_to_ask_again() {
-    let s = settings();
-    let mut rig = Rig::new(s, endpoints(6));
-    let mut n = 0;
-    let mut play = |rig: &mut Rig, rounds: usize| {
-        let mut early = 0;
+fn lost_responses_time_out_early() {
+    let settings = settings();
+    let mut harness = Harness::new(settings, endpoints(6));
+    let mut attempts = 0;
+    let mut run = |harness: &mut Harness, rounds: usize| {
+        let mut timed_out_early = 0;
         for _ in 0..rounds {
-            let id = rig.request(0);
-            while let Some(attempt) = rig.open(id).first().copied() {
-                n += 1;
-                let timeout = rig.requests[&id].sent[attempt as usize].timeout;
-                if n % 4 > 0 {
-                    rig.pass(20.0);
-                    rig.finish(id, attempt, Outcome::Served);
-                } else if let Some(wait) = timeout {
-                    early += 1;
-                    assert!(wait < 200.0, "within the aim");
-                    rig.pass(wait);
-                    rig.finish(id, attempt, Outcome::TimedOut);
+            let id = harness.request(0);
+            while let Some(attempt) = harness.attempts_in_flight(id).first().copied() {
+                attempts += 1;
+                let timeout = harness.requests[&id].attempts[attempt as usize].timeout;
+                if attempts % 4 > 0 {
+                    harness.advance(20.0);
+                    harness.finish_attempt(id, attempt, Outcome::Served);
+                } else if let Some(timeout) = timeout {
+                    timed_out_early += 1;
+                    assert!(timeout < 200.0, "timeout after the latency objective");
+                    harness.advance(timeout);
+                    harness.finish_attempt(id, attempt, Outcome::TimedOut);
                 } else {
-                    rig.pass(1000.0); // the client's patience ends, and with it the attempt
+                    harness.advance(1000.0); // the attempt times out at the client's deadline
                 }
             }
         }
-        early
+        timed_out_early
     };
-    assert_eq!(play(&mut rig, 12), 0, "nothing is known of lost answers yet");
-    play(&mut rig, 20);
-    assert!(play(&mut rig, 40) >= 8, "later, lost answers are given up early");
+    assert_eq!(run(&mut harness, 12), 0, "timed out early before any response was known to be lost");
+    run(&mut harness, 20);
+    assert!(run(&mut harness, 40) >= 8, "too few lost responses timed out early");
 }
 
-/// Prevents attempts beyond the limit, and a request without an end, where an attempt is given up and each
-/// retry after it fails as soon as it has begun.
+/// After an attempt timed out early, each retry fails as soon as it begins. The request must not get more
+/// attempts than the limit, and it must end.
 #[test]
-fn retries_that_fail_at_once_after_a_timeout_keep_to_the_limit() {
+fn instant_failures_after_timeout_keep_attempt_limit() {
     for outcome in [Outcome::Reset, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Error] {
-        let mut rig = Rig::new(settings(), endpoints(6));
-        // Overdue attempts are seen to stay unanswered, and a budget for retries is saved up.
+        let mut harness = Harness::new(settings(), endpoints(6));
+        // Lets the balancer see that overdue attempts get no response, and accumulates a retry budget.
         for n in 0..40 {
-            let id = rig.request(0);
+            let id = harness.request(0);
             let is_lost = n % 4 == 0;
-            rig.pass(if is_lost { 1000.0 } else { 20.0 });
-            let end = if is_lost { Outcome::TimedOut } else { Outcome::Served };
-            rig.open(id).into_iter().for_each(|attempt| drop(rig.finish(id, attempt, end)));
-            // What is sent after the time-out is served.
-            rig.open(id).into_iter().for_each(|attempt| drop(rig.finish(id, attempt, Outcome::Served)));
+            harness.advance(if is_lost { 1000.0 } else { 20.0 });
+            let outcome = if is_lost { Outcome::TimedOut } else { Outcome::Served };
+            harness
+                .attempts_in_flight(id)
+                .into_iter()
+                .for_each(|attempt| drop(harness.finish_attempt(id, attempt, outcome)));
+            // Retries after the timeout are served.
+            harness
+                .attempts_in_flight(id)
+                .into_iter()
+                .for_each(|attempt| drop(harness.finish_attempt(id, attempt, Outcome::Served)));
         }
-        let id = rig.request(0);
-        let wait = rig.requests[&id].sent[0].timeout.expect("the attempt is given up early");
-        rig.pass(wait);
-        rig.finish(id, 0, Outcome::TimedOut);
-        while let Some(attempt) = rig.open(id).first().copied() {
-            rig.finish(id, attempt, outcome);
+        let id = harness.request(0);
+        let timeout = harness.requests[&id].attempts[0].timeout.expect("no early timeout");
+        harness.advance(timeout);
+        harness.finish_attempt(id, 0, Outcome::TimedOut);
+        while let Some(attempt) = harness.attempts_in_flight(id).first().copied() {
+            harness.finish_attempt(id, attempt, outcome);
         }
-        let request = &rig.requests[&id];
-        assert_eq!(request.sent.len(), rig.settings.limits.max_attempts as usize, "{outcome:?}");
-        assert_eq!(request.ending, Some(Ending::Refused), "{outcome:?}");
+        let request = &harness.requests[&id];
+        assert_eq!(request.attempts.len(), harness.settings.limits.max_attempts as usize, "{outcome:?}");
+        assert_eq!(request.final_outcome, Some(FinalOutcome::Rejected), "{outcome:?}");
         assert!(request.ended_at < request.deadline, "{outcome:?}");
     }
 }
 
-/// Guards against running heavy requests twice: where long attempts are answered in the end, none is given
-/// up.
+/// If long attempts do get their responses in the end, none must time out early: retries would make endpoints
+/// run long requests twice.
 #[test]
-fn heavy_requests_are_waited_for() {
-    let s = settings();
-    let mut rig = Rig::new(s, endpoints(6));
+fn long_requests_do_not_time_out_early() {
+    let settings = settings();
+    let mut harness = Harness::new(settings, endpoints(6));
     for n in 0..100 {
-        let id = rig.request(0);
-        let heavy = n % 5 == 4;
-        rig.pass(if heavy { 300.0 } else { 20.0 });
-        rig.open(id).iter().for_each(|attempt| drop(rig.finish(id, *attempt, Outcome::Served)));
-        assert!(rig.requests[&id].sent.iter().all(|sent| sent.timeout.is_none()), "request {n}");
+        let id = harness.request(0);
+        let is_long = n % 5 == 4;
+        harness.advance(if is_long { 300.0 } else { 20.0 });
+        harness
+            .attempts_in_flight(id)
+            .iter()
+            .for_each(|attempt| drop(harness.finish_attempt(id, *attempt, Outcome::Served)));
+        assert!(
+            harness.requests[&id].attempts.iter().all(|attempt| attempt.timeout.is_none()),
+            "request {n}"
+        );
     }
 }
