--- a/discovery-proto/src/ids/tests.rs
+++ b/discovery-proto/src/ids/tests.rs
@@ -5,7 +5,7 @@
 /// The maps of names and IDs must not keep entries for names that are no longer listed. An endpoint that is
 /// listed again gets its previous ID.
 #[test]
-fn released_name_is_forgotten_and_gets_same_id_again() {
+fn released_name_gets_same_id_again() {
     let ids = EndpointIds::default();
     let (first, other) = (ids.get_or_assign("s-1"), ids.get_or_assign("s-2"));
     ids.release(first);
--- a/discovery-proto/src/session.rs
+++ b/discovery-proto/src/session.rs
@@ -39,7 +39,7 @@
 }
 
 impl PollTiming {
-    /// For a client proxy that polls a relay, or an agent that has the list in memory.
+    /// For a client proxy that polls a relay, or a discovery agent that has the list in memory.
     pub const DIRECT: PollTiming = PollTiming {
         watch_wait: Duration::from_millis(1_500),
         response_margin: Duration::from_millis(500),
@@ -48,9 +48,9 @@
         snapshot_timeout: Duration::from_millis(2_500),
         extended_timeout: None,
     };
-    /// For a client proxy whose agent may respond as late as a discovery that a whole fleet polls. Not every
-    /// poll can have the longer timeout: a poll that hangs, the backoff and the next poll have to stay within
-    /// 6 s.
+    /// For a client proxy whose discovery agent may respond as late as a discovery that a whole fleet polls.
+    /// Not every poll can have the longer timeout: a poll that hangs, the backoff and the next poll have to
+    /// stay within 6 s.
     pub const AGENT: PollTiming = PollTiming {
         resync_timeout: Duration::from_millis(2_300),
         snapshot_timeout: Duration::from_millis(2_300),
--- a/discovery-proto/src/sources/tests.rs
+++ b/discovery-proto/src/sources/tests.rs
@@ -16,7 +16,7 @@
 /// All clients of a relay see it fail at the same moment. If they all went to the same relay, or at the same
 /// moment, they would overload it.
 #[test]
-fn clients_of_failed_source_spread_over_others_and_time() {
+fn clients_of_failed_source_spread_out() {
     let rng = &mut Pcg32::seed_from_u64(1);
     let mut clients_by_source = std::collections::BTreeMap::<SocketAddr, usize>::new();
     let mut clients_by_delay = [0; 5];
--- a/discovery-proto/src/starts.rs
+++ b/discovery-proto/src/starts.rs
@@ -1,7 +1,7 @@
 //! Translates the start times of endpoints' processes to the caller's monotonic clock. Discovery gives them
 //! in Unix time. The caller's wall clock is not used for that, because it may have been stepped. If the age
-//! of a process is not known for certain, the smallest possible age is assumed, so that the process stays in
-//! slow start for too long rather than too short.
+//! of a process is not known for certain, the smallest possible age is assumed: it is better to keep a
+//! process in slow start for too long than to end its slow start too early.
 
 use std::collections::HashMap;
 
--- a/discovery-relay/src/catalog.rs
+++ b/discovery-relay/src/catalog.rs
@@ -125,8 +125,8 @@
 pub enum ApplyOutcome {
     /// The update was applied and has changed this many endpoints.
     Changed(usize),
-    /// The update was not applied: it is a full snapshot that would remove most of the known endpoints, and
-    /// the next one has to confirm that.
+    /// The update was not applied: it is a full snapshot that would remove most of the known endpoints. The
+    /// next full snapshot is applied whatever it contains.
     AwaitingConfirmation,
 }
 
--- a/discovery-relay/src/catalog/tests.rs
+++ b/discovery-relay/src/catalog/tests.rs
@@ -52,7 +52,7 @@
 /// watchers. Only the watchers of scopes with the changed service are notified, and all watchers that need
 /// the same changes share one encoding.
 #[test]
-fn change_notifies_only_affected_scopes_and_is_encoded_once() {
+fn change_notifies_affected_scopes_and_encodes_once() {
     let mut catalog = catalog_with(&["shop-1", "shop-2", "till-1", "bank-1"]);
     let [shop, bank, both] = ["shop", "BANK", "both"].map(|name| catalog.scope(name).expect("a known scope"));
     let watchers = |scope: &Scope| Vec::from_iter((0..50).map(|_| scope.subscribe()));
--- a/discovery-relay/src/downstream.rs
+++ b/discovery-relay/src/downstream.rs
@@ -27,7 +27,7 @@
 use crate::stall_detection::{StallDetectingStream, WriteProgress};
 use crate::upstream::Confirmation;
 
-/// The longest that a watch is held open, whatever the request asks for.
+/// The maximum time for which a watch is held open, even if the request asks for more.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 /// The source counts as lost if it has not confirmed the list for this long, in which two polls of the relay
 /// have timed out.
--- a/discovery-relay/tests/callers.rs
+++ b/discovery-relay/tests/callers.rs
@@ -136,7 +136,7 @@
 /// Idle connections could use up the connection limit and lock others out. At the limit the longest idle one
 /// is closed; a connection with an open watch is not idle.
 #[tokio::test]
-async fn idle_connections_are_closed_at_limit_but_not_watches() {
+async fn idle_connections_close_at_limit_watches_stay() {
     let source = start_source(&endpoint_names("shop", 3)).await;
     let relay = Relay::start(&[source.address], "connections = 30");
     relay.wait_for_list().await;
--- a/discovery-relay/tests/telling.rs
+++ b/discovery-relay/tests/telling.rs
@@ -162,7 +162,7 @@
 /// A relay that has lost its source must not look up to date. It rejects watches, so that downstreams go to
 /// another relay, but still serves its list, with its age, to those that have none, and removes no endpoint.
 #[tokio::test]
-async fn relay_without_source_rejects_watches_and_serves_stale_list() {
+async fn relay_without_source_rejects_watches_serves_snapshots() {
     let source = FakeSource::start(&["shop-1", "shop-2"]).await;
     let upper = Relay::start(&[source.address], "whole = true");
     let lower = Relay::start(&[upper.address], "");
