--- a/client-proxy/src/accept.rs
+++ b/client-proxy/src/accept.rs
@@ -21,24 +21,25 @@
 const ACCEPT_QUEUE: u32 = 1024;
 
 /// Accepts connections until `closing`, then lets each end as it goes idle and waits for all to end.
-pub async fn serve(listener: TcpListener, front: Rc<ClientContext>) {
+pub async fn serve(listener: TcpListener, context: Rc<ClientContext>) {
     let connections = TaskTracker::new();
     let last_empty = Cell::new(Instant::now());
-    let read_and_dispatch = |stream, slot| {
+    let serve_connection = |stream, slot| {
         let stream = MonitoredStream::new(stream, slot);
-        connections.spawn_local(connection(stream, Rc::clone(&front), last_empty.get()));
+        connections.spawn_local(connection(stream, Rc::clone(&context), last_empty.get()));
     };
-    let stop = if front.shared { &front.shutdown.leaving } else { &front.shutdown.closing };
-    let mut ready = front.ready.clone();
+    let stop =
+        if context.listener_shared { &context.shutdown.terminating } else { &context.shutdown.draining };
+    let mut ready = context.ready.clone();
     let mut backoff = AcceptBackoff::default();
     loop {
         let next = async {
-            if front.shared {
+            if context.listener_shared {
                 // Guards against requests refused by a process that is just starting, beside one that would
                 // serve.
                 let _ = ready.wait_for(|ready| *ready).await;
             }
-            let slot = room(&front).await;
+            let slot = acquire_client_slot(&context).await;
             let accepted = accept(&listener, &last_empty).await;
             if accepted.is_err() {
                 backoff.wait().await;
@@ -50,12 +51,12 @@
             _ = stop.cancelled() => break,
             accepted = next => if let Some((stream, slot)) = accepted {
                 backoff = AcceptBackoff::default();
-                read_and_dispatch(stream, slot);
+                serve_connection(stream, slot);
             }
         }
     }
-    if !front.shared {
-        empty_accept_queue(|| accept_now(&listener), &front, read_and_dispatch).await;
+    if !context.listener_shared {
+        drain_accept_queue(|| accept_now(&listener), &context, serve_connection).await;
     }
     drop(listener);
     connections.close();
@@ -92,18 +93,18 @@
 /// `accept`, and where there is no place a connection waits until another one has ended. No more are accepted
 /// than the queue held at its fullest, and none after the last call, so that clients that come again and
 /// again don't keep the process.
-pub(crate) async fn empty_accept_queue(
+pub(crate) async fn drain_accept_queue(
     mut accept: impl FnMut() -> io::Result<TcpStream>,
-    front: &ClientContext,
-    read_and_dispatch: impl Fn(TcpStream, SocketPermit),
+    context: &ClientContext,
+    serve_connection: impl Fn(TcpStream, SocketPermit),
 ) {
-    let emptied = async {
+    let drained = async {
         let (mut backoff, mut accepted) = (AcceptBackoff::default(), 0);
         while accepted <= ACCEPT_QUEUE {
-            let slot = room(front).await;
+            let slot = acquire_client_slot(context).await;
             match accept() {
                 Ok(stream) => {
-                    read_and_dispatch(stream, slot);
+                    serve_connection(stream, slot);
                     accepted += 1;
                     backoff = AcceptBackoff::default();
                 }
@@ -114,8 +115,8 @@
     };
     tokio::select! {
         biased;
-        _ = front.shutdown.last_call.cancelled() => {}
-        _ = emptied => {}
+        _ = context.shutdown.kill_imminent.cancelled() => {}
+        _ = drained => {}
     }
 }
 
@@ -136,15 +137,15 @@
 }
 
 /// A place for one more client, made by closing idle connections to endpoints where there is none.
-async fn room(front: &ClientContext) -> SocketPermit {
+async fn acquire_client_slot(context: &ClientContext) -> SocketPermit {
     loop {
-        if let Some(slot) = front.sockets.place(Side::Client) {
+        if let Some(slot) = context.sockets.try_acquire(Side::Client) {
             return slot;
         }
-        if front.sockets.is_full() && front.endpoints.evict_idle() {
+        if context.sockets.is_full() && context.endpoints.evict_idle() {
             tokio::task::yield_now().await;
         } else {
-            front.sockets.freed().await;
+            context.sockets.slot_freed().await;
         }
     }
 }
--- a/client-proxy/src/accept/tests.rs
+++ b/client-proxy/src/accept/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::clients::tests::{READY, front, run, statuses};
-use crate::socket_budget::Sockets;
+use crate::socket_budget::SocketBudget;
 
 /// Guards against connections lost in the accept queue as the process ends: neither an `accept` that fails
 /// nor a burst that uses up a task's turn is the end of the queue, only an empty queue is.
@@ -21,7 +21,7 @@
         };
         let clients: Vec<_> = (0..WAITING).map(|_| waiting()).collect();
         let front = front();
-        front.shutdown.closing.cancel();
+        front.shutdown.draining.cancel();
         serve(listener, front).await;
         let answered = clients
             .into_iter()
@@ -57,11 +57,11 @@
             None => Err(WouldBlock.into()),
         };
         let taken_in = Cell::new(0);
-        empty_accept_queue(accept, &front(), |_, _| taken_in.set(taken_in.get() + 1)).await;
+        drain_accept_queue(accept, &front(), |_, _| taken_in.set(taken_in.get() + 1)).await;
         assert_eq!(taken_in.get(), clients.len());
         // One that fails for good is asked again, not in haste, until the last call.
         let (front, asked) = (front(), Cell::new(0));
-        let fails_for_good = empty_accept_queue(
+        let fails_for_good = drain_accept_queue(
             || {
                 asked.set(asked.get() + 1);
                 Err(io::Error::from_raw_os_error(EMFILE))
@@ -69,11 +69,11 @@
             &front,
             |_, _| {},
         );
-        let last_call = async {
+        let kill_imminent = async {
             sleep(Duration::from_secs(1)).await;
-            front.shutdown.last_call.cancel();
+            front.shutdown.kill_imminent.cancel();
         };
-        tokio::join!(fails_for_good, last_call);
+        tokio::join!(fails_for_good, kill_imminent);
         assert!((40..80).contains(&asked.get()), "{} times", asked.get());
     });
 }
@@ -84,16 +84,16 @@
 fn the_accept_queue_waits_for_a_place_at_the_end() {
     run(async {
         let mut front = Rc::into_inner(front()).expect("the only one");
-        front.sockets = Sockets::new(0, 0);
+        front.sockets = SocketBudget::new(0, 0);
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let address = listener.local_addr().expect("bound");
         let mut held = Vec::new();
-        while let Some(slot) = front.sockets.place(Side::Client) {
+        while let Some(slot) = front.sockets.try_acquire(Side::Client) {
             held.push(slot);
         }
         let mut client = std::net::TcpStream::connect(address).expect("accepted");
         client.write_all(READY.as_bytes()).expect("written");
-        front.shutdown.closing.cancel();
+        front.shutdown.draining.cancel();
         let serving = tokio::task::spawn_local(serve(listener, Rc::new(front)));
         for _ in 0..10 {
             yield_now().await;
--- a/client-proxy/src/admin/tests.rs
+++ b/client-proxy/src/admin/tests.rs
@@ -2,10 +2,10 @@
 
 #[test]
 fn calls_are_read_and_all_else_is_told_what_is_wrong() {
-    assert_eq!(read_call(b"PING"), Ok(Call::Ping));
-    assert_eq!(read_call(b" INFO \r"), Ok(Call::Info));
-    assert_eq!(read_call(b"DETACH s-1"), Ok(Call::Detach("s-1")));
-    assert_eq!(read_call(b"ATTACH  s-1 "), Ok(Call::Attach("s-1")));
+    assert_eq!(parse_command(b"PING"), Ok(Command::Ping));
+    assert_eq!(parse_command(b" INFO \r"), Ok(Command::Info));
+    assert_eq!(parse_command(b"DETACH s-1"), Ok(Command::Detach("s-1")));
+    assert_eq!(parse_command(b"ATTACH  s-1 "), Ok(Command::Attach("s-1")));
     for bad in [
         &b"DETACH"[..],
         b"ATTACH a b",
@@ -18,6 +18,6 @@
         b"\xff\xfe",
         b"\0",
     ] {
-        assert!(read_call(bad).is_err(), "{bad:?}");
+        assert!(parse_command(bad).is_err(), "{bad:?}");
     }
 }
--- a/client-proxy/src/clients/client_io.rs
+++ b/client-proxy/src/clients/client_io.rs
@@ -12,7 +12,7 @@
 /// A client's stream, as the HTTP connection is given it.
 pub(super) struct ClientIo {
     pub(super) io: Io,
-    pub(super) last_call: CancellationToken,
+    pub(super) kill_imminent: CancellationToken,
 }
 
 impl AsyncRead for ClientIo {
@@ -21,7 +21,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.last_call.is_cancelled() && self.io.0.is_read_ahead_empty() {
+        if self.kill_imminent.is_cancelled() && self.io.0.is_read_ahead_empty() {
             // What would be read now could not be answered any more. Whoever watches the connection ends it.
             return Poll::Pending;
         }
--- a/client-proxy/src/clients/response_body.rs
+++ b/client-proxy/src/clients/response_body.rs
@@ -10,46 +10,55 @@
 use crate::driver::OutcomeRecorder;
 use crate::endpoint_pool::{ResponseError, UpstreamBody};
 use crate::memory_budget::MemoryPermit;
-use crate::request_body::next_piece;
+use crate::request_body::next_chunk;
 use crate::response_forwarding::ResponseForwarder;
 
 /// The body of an answer to a client.
 pub(super) struct ResponseBody {
     pub(super) body: UpstreamBody,
     /// How its request ends while it goes on as it comes; `None` for what is no answer to a request.
-    pub(super) passing: Option<ResponseForwarder>,
+    pub(super) forwarder: Option<ResponseForwarder>,
     /// Why it broke off, until that may be told.
-    pub(super) broken: Option<ResponseError>,
-    pub(super) counted: Option<OutcomeRecorder>,
-    pub(super) _hold: Option<MemoryPermit>,
-    pub(super) busy: Option<ActiveRequest>,
+    pub(super) error: Option<ResponseError>,
+    pub(super) recorder: Option<OutcomeRecorder>,
+    pub(super) _memory: Option<MemoryPermit>,
+    pub(super) active_request: Option<ActiveRequest>,
 }
 
 impl ResponseBody {
-    pub(super) fn whole(body: impl Into<Bytes>) -> ResponseBody {
-        let body = UpstreamBody::Whole(body.into());
-        ResponseBody { body, passing: None, broken: None, counted: None, _hold: None, busy: None }
+    pub(super) fn buffered(body: impl Into<Bytes>) -> ResponseBody {
+        let body = UpstreamBody::Buffered(body.into());
+        ResponseBody {
+            body,
+            forwarder: None,
+            error: None,
+            recorder: None,
+            _memory: None,
+            active_request: None,
+        }
     }
 
     /// Some of it has left for the client.
-    pub(super) fn has_begun(&self) -> bool {
-        self.busy.as_ref().is_none_or(|busy| busy.door.stream.written() > busy.before)
+    pub(super) fn is_started(&self) -> bool {
+        self.active_request
+            .as_ref()
+            .is_none_or(|active_request| active_request.conn.stream.written() > active_request.written_before)
     }
 
     /// The next piece, or how it broke off.
-    pub(super) fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, ResponseError>>> {
-        let rest = match &mut self.body {
-            UpstreamBody::Whole(left) if left.is_empty() => return Poll::Ready(None),
-            UpstreamBody::Whole(left) => return Poll::Ready(Some(Ok(next_piece(left)))),
-            UpstreamBody::Streamed(rest) => rest,
+    pub(super) fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, ResponseError>>> {
+        let stream = match &mut self.body {
+            UpstreamBody::Buffered(remaining) if remaining.is_empty() => return Poll::Ready(None),
+            UpstreamBody::Buffered(remaining) => return Poll::Ready(Some(Ok(next_chunk(remaining)))),
+            UpstreamBody::Streamed(stream) => stream,
         };
-        let polled = rest.poll_data(cx);
-        let Some(passing) = &mut self.passing else { return polled };
+        let polled = stream.poll_data(cx);
+        let Some(forwarder) = &mut self.forwarder else { return polled };
         match &polled {
-            Poll::Ready(Some(Ok(data))) => passing.gave(data.len()),
+            Poll::Ready(Some(Ok(data))) => forwarder.record_forwarded(data.len()),
             Poll::Ready(_) => {}
             Poll::Pending => {
-                ready!(passing.poll_stalled(cx));
+                ready!(forwarder.poll_stalled(cx));
                 return Poll::Ready(Some(Err(ResponseError::Stalled)));
             }
         }
@@ -65,35 +74,35 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseError>>> {
-        if self.broken.is_none() {
-            match ready!(self.poll_piece(cx)) {
-                Some(Err(broken)) => self.broken = Some(broken),
-                piece => return Poll::Ready(piece.map(|piece| piece.map(Frame::data))),
+        if self.error.is_none() {
+            match ready!(self.poll_chunk(cx)) {
+                Some(Err(error)) => self.error = Some(error),
+                chunk => return Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data))),
             }
         }
-        let begun = self.has_begun();
-        if let Some(passing) = &mut self.passing {
-            ready!(passing.poll_begun(cx, begun));
+        let is_started = self.is_started();
+        if let Some(forwarder) = &mut self.forwarder {
+            ready!(forwarder.poll_response_started(cx, is_started));
         }
-        let broken = self.broken.take();
-        if let (Some(broken), Some(counted)) = (&broken, self.counted.take()) {
-            eprintln!("client-proxy: an answer broke off: {broken}");
-            counted.broke();
+        let error = self.error.take();
+        if let (Some(error), Some(recorder)) = (&error, self.recorder.take()) {
+            eprintln!("client-proxy: an answer broke off: {error}");
+            recorder.record_truncated();
         }
-        Poll::Ready(broken.map(Err))
+        Poll::Ready(error.map(Err))
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.body {
-            UpstreamBody::Whole(left) => left.is_empty(),
-            UpstreamBody::Streamed(rest) => rest.is_over(),
+            UpstreamBody::Buffered(remaining) => remaining.is_empty(),
+            UpstreamBody::Streamed(stream) => stream.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            UpstreamBody::Whole(left) => SizeHint::with_exact(left.len() as u64),
-            UpstreamBody::Streamed(rest) => rest.size_hint(),
+            UpstreamBody::Buffered(remaining) => SizeHint::with_exact(remaining.len() as u64),
+            UpstreamBody::Streamed(stream) => stream.size_hint(),
         }
     }
 }
--- a/client-proxy/src/clients/response_body/tests.rs
+++ b/client-proxy/src/clients/response_body/tests.rs
@@ -14,14 +14,16 @@
 use super::*;
 use crate::clients::connection_state::tests::door;
 use crate::clients::tests::run;
-use crate::endpoint_pool::response::Streamed;
+use crate::endpoint_pool::response::StreamedResponseBody;
 use crate::monitored_stream::Io;
 use crate::response_forwarding::PendingResponse;
 use crate::upstream_request::UpstreamRequest;
 
 /// The answer of an endpoint that has begun it and then does as `end` says, as far as it has come; and what
 /// shows that the connection to that endpoint has ended.
-async fn begun(end: impl FnOnce(std::net::TcpStream) + Send + 'static) -> (Streamed, TaskTracker) {
+async fn begun(
+    end: impl FnOnce(std::net::TcpStream) + Send + 'static,
+) -> (StreamedResponseBody, TaskTracker) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
@@ -40,20 +42,20 @@
     let request = Request::new(http_body_util::Empty::<Bytes>::new());
     let mut body = sender.send_request(request).await.expect("an answer").into_body();
     let first = http_body_util::BodyExt::frame(&mut body).await.expect("a piece").expect("sound");
-    (Streamed::new(first.into_data().expect("data"), body, None), ended)
+    (StreamedResponseBody::new(first.into_data().expect("data"), body, None), ended)
 }
 
 /// For the answer to a request that came just now, of a client that waits for 400 ms.
-fn passing() -> ResponseForwarder {
+fn forwarder() -> ResponseForwarder {
     let order = UpstreamRequest::empty(Duration::from_millis(400));
-    PendingResponse::new(Rc::new(order), Duration::ZERO).pass_on(None)
+    PendingResponse::new(Rc::new(order), Duration::ZERO).start_forwarding(None)
 }
 
-fn reply(rest: Streamed) -> ResponseBody {
+fn reply(rest: StreamedResponseBody) -> ResponseBody {
     ResponseBody {
         body: UpstreamBody::Streamed(Box::new(rest)),
-        passing: Some(passing()),
-        ..ResponseBody::whole("")
+        forwarder: Some(forwarder()),
+        ..ResponseBody::buffered("")
     }
 }
 
@@ -69,7 +71,7 @@
         let rest = Cell::new(Some(rest));
         let service = service_fn(|_| {
             let mut reply = reply(rest.take().expect("one request"));
-            reply.busy = Some(door.enter());
+            reply.active_request = Some(door.begin_request());
             async { Ok::<_, Infallible>(Response::new(reply)) }
         });
         let io = TokioIo::new(Io(Rc::clone(&door.stream)));
--- a/client-proxy/src/clients/tests.rs
+++ b/client-proxy/src/clients/tests.rs
@@ -23,7 +23,7 @@
     client.set_recv_buffer_size(unread).expect("a buffer");
     client.connect(&listener.local_addr().expect("bound").into()).expect("accepted");
     let (stream, _) = listener.accept().await.expect("a connection");
-    let slot = Sockets::new(1024, 0).place(Side::Client).expect("a place");
+    let slot = SocketBudget::new(1024, 0).try_acquire(Side::Client).expect("a place");
     (MonitoredStream::new(stream, slot), client.into())
 }
 
@@ -31,7 +31,7 @@
 
 /// What connections share where nothing is sent on.
 pub(crate) fn front() -> Rc<ClientContext> {
-    let (sockets, room) = (Sockets::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)));
+    let (sockets, room) = (SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)));
     let endpoints = EndpointPool::new(Rc::clone(&sockets), Rc::clone(&room), 1000.0, 100.0);
     let (ready, shutdown) = (watch::channel(true).1, Shutdown::default());
     let names = Names { classes: vec!["look".to_owned()], ..Names::default() };
@@ -42,9 +42,9 @@
         names,
         ready,
         sockets,
-        room,
+        request_memory: room,
         endpoints,
-        shared: false,
+        listener_shared: false,
         shutdown,
     })
 }
@@ -82,7 +82,7 @@
         while stream.is_quiet() {
             std::thread::yield_now();
         }
-        front.shutdown.closing.cancel();
+        front.shutdown.draining.cancel();
         until_answered(served.as_mut(), &stream).await;
         drop(served);
         drop(stream);
@@ -120,8 +120,8 @@
 fn what_was_read_behind_an_answer_that_sends_its_client_away_is_answered() {
     run(async {
         let mut front = Rc::into_inner(front()).expect("the only one");
-        front.shared = true;
-        front.shutdown.leaving.cancel();
+        front.listener_shared = true;
+        front.shutdown.terminating.cancel();
         let (stream, mut client) = joined(64 * 1024).await;
         let look = "GET /look HTTP/1.1\r\nHost: p\r\nX-Txn: 1\r\nX-Lane: look\r\nX-Remaining-Ms: 3000\r\n";
         let body = "Content-Length: 3\r\n\r\nabc";
@@ -138,8 +138,8 @@
 /// What connections share in a process that another one takes over from, on a socket that both accept from.
 fn front_in_upgrade() -> Rc<ClientContext> {
     let mut front = Rc::into_inner(front()).expect("the only one");
-    front.shared = true;
-    front.shutdown.leaving.cancel();
+    front.listener_shared = true;
+    front.shutdown.terminating.cancel();
     Rc::new(front)
 }
 
@@ -193,7 +193,7 @@
         tokio::time::pause();
         let (stream, mut client) = joined(64 * 1024).await;
         let front = front_in_upgrade();
-        front.shutdown.closing.cancel();
+        front.shutdown.draining.cancel();
         let pipeline = format!("{}{LOOK_OPEN}\r\n{READY}", with_body(READY_OPEN, 3_000, false));
         let (part, rest) = pipeline.split_at(1_000);
         let mut served = Box::pin(connection(Rc::clone(&stream), front, Instant::now()));
@@ -221,8 +221,8 @@
                 }
                 // Read ahead, so that it counts as read when the last call comes.
                 assert_eq!(stream.query_hang_up(), None);
-                front.shutdown.closing.cancel();
-                front.shutdown.last_call.cancel();
+                front.shutdown.draining.cancel();
+                front.shutdown.kill_imminent.cancel();
                 connection(stream, front, Instant::now()).await;
                 assert_eq!(statuses(client), ["200"], "chunked: {chunked}");
             }
--- a/client-proxy/src/clock.rs
+++ b/client-proxy/src/clock.rs
@@ -8,7 +8,7 @@
 use rustix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-use crate::endpoint_pool::millis;
+use crate::endpoint_pool::duration_from_ms;
 
 /// Where Linux names the present boot.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
@@ -23,8 +23,11 @@
 impl Clock {
     /// Reads the machine's clock once; from then on it is the standard library's monotonic clock that counts.
     pub fn new() -> Clock {
-        let read = clock_gettime(ClockId::Monotonic);
-        Clock { base: Instant::now(), base_ms: read.tv_sec as f64 * 1e3 + read.tv_nsec as f64 / 1e6 }
+        let monotonic = clock_gettime(ClockId::Monotonic);
+        Clock {
+            base: Instant::now(),
+            base_ms: monotonic.tv_sec as f64 * 1e3 + monotonic.tv_nsec as f64 / 1e6,
+        }
     }
 
     /// The present.
@@ -35,7 +38,7 @@
     /// When a timer for `at` is due.
     pub fn instant(&self, at: Millis) -> Instant {
         // From now, not from the start: `millis` cuts what is longer than a day.
-        Instant::now() + millis(at - self.now())
+        Instant::now() + duration_from_ms(at - self.now())
     }
 }
 
@@ -48,7 +51,7 @@
 /// The wall clock in Unix milliseconds, which may be stepped at any time. Only for what earlier versions
 /// read.
 pub fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |past| past.as_secs_f64() * 1e3)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |elapsed| elapsed.as_secs_f64() * 1e3)
 }
 
 #[cfg(test)]
--- a/client-proxy/src/config.rs
+++ b/client-proxy/src/config.rs
@@ -12,11 +12,11 @@
 use crate::names::Names;
 
 /// What a process may hold where the configuration does not say.
-const SOCKETS: usize = 1024;
+const DEFAULT_SOCKETS: usize = 1024;
 /// And what memory, in MB: the least that a client proxy is given.
-const MEMORY_MB: usize = 32;
+const DEFAULT_MEMORY_MB: usize = 32;
 /// Fewer descriptors than this leave no room for clients beside discovery and the process's own.
-const SOCKETS_LEAST: usize = 64;
+const MIN_SOCKETS: usize = 64;
 
 /// All of the configuration, checked.
 pub struct Config {
@@ -37,7 +37,7 @@
     /// Memory that the process may use, in bytes.
     pub memory: usize,
     /// The list of endpoints as this client proxy last had it, in discovery's form; may be old.
-    pub known: Option<serde_json::Value>,
+    pub cached_list: Option<serde_json::Value>,
     /// What the decisions work with.
     pub settings: Settings,
     /// Names, in the order of the settings' numbers.
@@ -45,7 +45,7 @@
 }
 
 /// The variables that stand above the file.
-struct Given {
+struct EnvOverrides {
     name: Option<String>,
     listen: Option<String>,
     admin: Option<String>,
@@ -80,16 +80,16 @@
     pub fn from_env() -> Result<Config, ConfigError> {
         let text = Config::read_file()?;
         let var = |name| env::var(name).ok().filter(|value| !value.is_empty());
-        let given = Given {
+        let overrides = EnvOverrides {
             name: var("GW_NAME"),
             listen: var("GW_LISTEN"),
             admin: var("GW_ADMIN_ADDR"),
             discovery: var("GW_DISCOVERY"),
         };
-        let parts = FleetConfig::from_env()?;
-        let mut config = Config::new(&text, given)?;
-        parts.apply(&mut config.settings, &mut config.names);
-        config.relays = parts.relays().cloned();
+        let fleet = FleetConfig::from_env()?;
+        let mut config = Config::new(&text, overrides)?;
+        fleet.apply(&mut config.settings, &mut config.names);
+        config.relays = fleet.relays().cloned();
         Ok(config)
     }
 
@@ -100,12 +100,12 @@
     /// Names the field at fault.
     pub fn reread_discovery() -> Result<SocketAddr, ConfigError> {
         #[derive(Deserialize)]
-        struct Moved {
+        struct DiscoveryField {
             discovery: Option<String>,
         }
-        let moved: Moved = serde_json::from_slice(&Config::read_file()?)
-            .map_err(|error| wrong("discovery", &error.to_string()))?;
-        address(None, moved.discovery, "discovery")
+        let parsed: DiscoveryField = serde_json::from_slice(&Config::read_file()?)
+            .map_err(|error| invalid_field("discovery", &error.to_string()))?;
+        address(None, parsed.discovery, "discovery")
     }
 
     fn read_file() -> Result<Vec<u8>, ConfigError> {
@@ -113,24 +113,24 @@
         fs::read(&path).map_err(|source| ConfigError::Unreadable { variable: "GW_CONFIG", path, source })
     }
 
-    fn new(text: &[u8], given: Given) -> Result<Config, ConfigError> {
+    fn new(text: &[u8], overrides: EnvOverrides) -> Result<Config, ConfigError> {
         let mut json = serde_json::Deserializer::from_slice(text);
         let file: File = serde_path_to_error::deserialize(&mut json)
-            .map_err(|error| wrong(&error.path().to_string(), &error.inner().to_string()))?;
-        let sockets = file.limits.sockets.unwrap_or(SOCKETS);
-        if sockets < SOCKETS_LEAST {
-            return Err(wrong(
+            .map_err(|error| invalid_field(&error.path().to_string(), &error.inner().to_string()))?;
+        let sockets = file.limits.sockets.unwrap_or(DEFAULT_SOCKETS);
+        if sockets < MIN_SOCKETS {
+            return Err(invalid_field(
                 "limits.sockets",
-                &format!("{sockets} are too few, {SOCKETS_LEAST} are needed"),
+                &format!("{sockets} are too few, {MIN_SOCKETS} are needed"),
             ));
         }
-        let memory_mb = file.limits.memory_mb.unwrap_or(MEMORY_MB as f64);
+        let memory_mb = file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB as f64);
         if !(1.0..1e9).contains(&memory_mb) {
-            return Err(wrong("limits.memory_mb", &format!("{memory_mb} is no memory to work in")));
+            return Err(invalid_field("limits.memory_mb", &format!("{memory_mb} is no memory to work in")));
         }
         // A seed in another form than the documented one must not pass for some fixed number.
-        let seed = file.seed.ok_or_else(|| wrong("seed", "is missing"))?;
-        let seed = u64::from_str_radix(&seed, 16).map_err(|_| wrong("seed", "is not hex digits"))?;
+        let seed = file.seed.ok_or_else(|| invalid_field("seed", "is missing"))?;
+        let seed = u64::from_str_radix(&seed, 16).map_err(|_| invalid_field("seed", "is not hex digits"))?;
         let names = Names {
             classes: file.settings.classes.iter().map(|class| class.name.clone()).collect(),
             tenants: file.settings.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
@@ -138,36 +138,36 @@
             kinds: file.settings.kinds.clone(),
         };
         if let Some(i) = names.classes.iter().position(String::is_empty) {
-            return Err(wrong(&format!("settings.classes[{i}].name"), "is missing"));
+            return Err(invalid_field(&format!("settings.classes[{i}].name"), "is missing"));
         }
         let settings = convert_settings(file.settings);
         settings.validate()?;
         if settings.classes.iter().any(|class| class.streamed) {
-            return Err(wrong("settings.classes", "streamed classes are not served by this program"));
+            return Err(invalid_field("settings.classes", "streamed classes are not served by this program"));
         }
-        let admin = given.admin.or(file.admin_addr).map(|text| address(Some(text), None, "admin_addr"));
+        let admin = overrides.admin.or(file.admin_addr).map(|text| address(Some(text), None, "admin_addr"));
         Ok(Config {
-            name: given.name.unwrap_or(file.name),
-            listen: address(given.listen, file.listen, "listen")?,
+            name: overrides.name.unwrap_or(file.name),
+            listen: address(overrides.listen, file.listen, "listen")?,
             admin: admin.transpose()?,
-            discovery: address(given.discovery, file.discovery, "discovery")?,
+            discovery: address(overrides.discovery, file.discovery, "discovery")?,
             relays: None,
             seed,
             sockets,
             memory: (memory_mb * 1e6) as usize,
-            known: file.known,
+            cached_list: file.known,
             settings,
             names,
         })
     }
 }
 
-fn wrong(field: &str, problem: &str) -> ConfigError {
+fn invalid_field(field: &str, problem: &str) -> ConfigError {
     ConfigError::Field { field: field.to_owned(), problem: problem.to_owned() }
 }
 
 /// The variable stands above the file.
 fn address(var: Option<String>, file: Option<String>, field: &str) -> Result<SocketAddr, ConfigError> {
-    let text = var.or(file).ok_or_else(|| wrong(field, "is missing"))?;
-    text.parse().map_err(|_| wrong(field, &format!("{text:?} is not an address and port")))
+    let text = var.or(file).ok_or_else(|| invalid_field(field, "is missing"))?;
+    text.parse().map_err(|_| invalid_field(field, &format!("{text:?} is not an address and port")))
 }
--- a/client-proxy/src/config_error.rs
+++ b/client-proxy/src/config_error.rs
@@ -31,7 +31,7 @@
     },
     /// A key of the second file is unknown, or of the wrong form.
     #[error("GW_FLEET: {path}: {key}: {problem}")]
-    Part {
+    FleetKey {
         /// As the variable has it.
         path: String,
         /// Its table and name, or its line.
--- a/client-proxy/src/discovery.rs
+++ b/client-proxy/src/discovery.rs
@@ -29,27 +29,27 @@
 pub use self::source_selector::SourceSelector;
 
 /// A part of each call's time: a dial that takes longer is to a discovery that cannot be reached.
-const DIAL_WITHIN: Duration = Duration::from_millis(500);
+const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Guards against a discovery that answers without end what does not wait: a breath before the next call,
 /// well within the 200 ms in which a watch goes on.
-const BREATH: Duration = Duration::from_millis(50);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A list may be long, but not endless.
-const LIST_MOST: usize = 8 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 /// How long to wait for a first answer where endpoints are known from before.
-const START_WITHIN: Duration = Duration::from_secs(1);
+const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Keeps the list of endpoints as discovery tells it.
 pub struct Discovery {
-    whom: SourceSelector,
+    sources: SourceSelector,
     mode: Mode,
     driver: Rc<Driver>,
     /// Where the list is handed on to the next process, if there is to be one.
-    handover: Option<Rc<ProcessState>>,
-    follower: Subscription<EndpointPool>,
+    state: Option<Rc<ProcessState>>,
+    subscription: Subscription<EndpointPool>,
     rng: Pcg32,
-    link: Option<DiscoveryConnection>,
+    connection: Option<DiscoveryConnection>,
     /// Where the last call went.
-    asked: Option<SocketAddr>,
+    last_address: Option<SocketAddr>,
     failing: bool,
     ready: watch::Sender<bool>,
 }
@@ -57,33 +57,33 @@
 impl Discovery {
     /// Nothing is asked before [`Discovery::run`].
     pub fn new(
-        whom: SourceSelector,
+        sources: SourceSelector,
         mode: Mode,
         names: Names,
         seed: u64,
         endpoints: Rc<EndpointPool>,
         driver: Rc<Driver>,
-        handover: Option<Rc<ProcessState>>,
+        state: Option<Rc<ProcessState>>,
     ) -> Discovery {
-        let listed = handover.as_ref().map(|_| RefCell::default());
+        let raw_entries = state.as_ref().map(|_| RefCell::default());
         let Names { zones, kinds, .. } = names;
-        let pace = match mode {
-            _ if !whom.is_shared() => PollTiming::DIRECT,
+        let timing = match mode {
+            _ if !sources.is_shared() => PollTiming::DIRECT,
             Mode::Pull => PollTiming::QUEUED,
             Mode::Push => PollTiming::AGENT,
         };
         Discovery {
-            whom,
+            sources,
             mode,
-            follower: Subscription::new(
-                pace,
-                ListReader { zones, kinds, endpoints, ids: driver.ids(), raw_entries: listed },
+            subscription: Subscription::new(
+                timing,
+                ListReader { zones, kinds, endpoints, ids: driver.ids(), raw_entries },
             ),
             driver,
-            handover,
+            state,
             rng: Pcg32::seed_from_u64(seed),
-            link: None,
-            asked: None,
+            connection: None,
+            last_address: None,
             failing: false,
             ready: watch::Sender::new(false),
         }
@@ -95,28 +95,33 @@
     }
 
     /// Follows the list for as long as the program runs, beginning with what was `known` before.
-    pub async fn run(mut self, known: Option<Value>, mut asks: mpsc::UnboundedReceiver<DiscoveryCommand>) {
-        let mut heard = false;
+    pub async fn run(
+        mut self,
+        known: Option<Value>,
+        mut commands: mpsc::UnboundedReceiver<DiscoveryCommand>,
+    ) {
+        let mut has_cached_list = false;
         match known.map(serde_json::from_value) {
             Some(Ok(list)) => {
                 // Where lists are pushed the whole list is to be had for nothing, so no old version is built
                 // on.
-                let entries = self.follower.restore(list, self.mode == Mode::Pull, self.driver.clock().now());
+                let entries =
+                    self.subscription.restore(list, self.mode == Mode::Pull, self.driver.clock().now());
                 self.log_problems();
                 if !entries.is_empty() {
                     let ready = self.ready.clone();
                     spawn_local(async move {
-                        sleep(START_WITHIN).await;
+                        sleep(FIRST_POLL_TIMEOUT).await;
                         ready.send_replace(true);
                     });
                 }
                 self.driver.apply_endpoint_update(EndpointUpdate::CachedSnapshot(entries));
-                heard = true;
+                has_cached_list = true;
             }
             Some(Err(error)) => eprintln!("client-proxy: known: not a list, so left out: {error}"),
             None => {}
         }
-        if !heard {
+        if !has_cached_list {
             // The decisions begin with an event, also where nothing was known.
             self.driver.apply_endpoint_update(EndpointUpdate::CachedSnapshot(Vec::new()));
         }
@@ -124,14 +129,14 @@
         match self.mode {
             Mode::Push => self.follow().await,
             Mode::Pull => loop {
-                let ask = tokio::select! {
-                    ask = asks.recv() => ask,
+                let command = tokio::select! {
+                    command = commands.recv() => command,
                     // A move ends the pause that the decisions make after a failure: that was of the old
                     // address.
-                    () = self.whom.moves() => Some(DiscoveryCommand::Watch),
+                    () = self.sources.wait_for_move() => Some(DiscoveryCommand::Watch),
                 };
-                let Some(ask) = ask else { return };
-                self.answer(ask).await;
+                let Some(command) = command else { return };
+                self.poll_for(command).await;
             },
         }
     }
@@ -139,33 +144,33 @@
     /// Lists that are pushed: goes on asking the agent, also through its silence.
     async fn follow(&mut self) {
         loop {
-            if let Err(error) = self.next().await {
-                let pause = self.failed(&error);
-                if let Some(pause) = self.go_elsewhere(&error) {
-                    sleep(pause).await;
+            if let Err(error) = self.poll().await {
+                let backoff = self.record_failure(&error);
+                if let Some(backoff) = self.failover_backoff(&error) {
+                    sleep(backoff).await;
                     continue;
                 }
                 let jitter = 0.5 + 0.5 * f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
                 tokio::select! {
-                    () = sleep(pause.mul_f64(jitter)) => {}
+                    () = sleep(backoff.mul_f64(jitter)) => {}
                     // A move ends the pause: that was of the old address.
-                    () = self.whom.moves() => {}
+                    () = self.sources.wait_for_move() => {}
                 }
             }
         }
     }
 
     /// Lists that are asked for: the decisions say when, and back off by themselves.
-    async fn answer(&mut self, ask: DiscoveryCommand) {
-        if ask == DiscoveryCommand::Fetch {
-            self.follower.request_full_snapshot();
+    async fn poll_for(&mut self, command: DiscoveryCommand) {
+        if command == DiscoveryCommand::Fetch {
+            self.subscription.request_full_snapshot();
         }
         loop {
-            if let Err(error) = self.next().await {
-                self.failed(&error);
+            if let Err(error) = self.poll().await {
+                self.record_failure(&error);
                 // All see a relay fail at once, so each goes on to another after a pause of its own.
-                if let Some(pause) = self.go_elsewhere(&error) {
-                    sleep(pause).await;
+                if let Some(backoff) = self.failover_backoff(&error) {
+                    sleep(backoff).await;
                     continue;
                 }
                 self.driver.apply_endpoint_update(EndpointUpdate::Failed);
@@ -175,98 +180,96 @@
     }
 
     /// One call and what it tells.
-    async fn next(&mut self) -> Result<(), PollError> {
-        let asked = Instant::now();
-        let DiscoveryResponse { connection: link, headers, body } = loop {
-            if self.whom.moved() {
+    async fn poll(&mut self) -> Result<(), PollError> {
+        let polled_at = Instant::now();
+        let DiscoveryResponse { connection: conn, headers, body } = loop {
+            if self.sources.has_moved() {
                 // A link to where discovery no longer is is of no more use.
-                self.link = None;
-                self.follower.source_changed();
+                self.connection = None;
+                self.subscription.source_changed();
             }
-            let (address, endpoint) = self.whom.next();
-            let before = self.asked.replace(address);
+            let (address, endpoint) = self.sources.next_source();
+            let previous = self.last_address.replace(address);
             // Relays tell the same discovery's list; an address that is named once more is the same
             // discovery.
-            if self.whom.is_shared() && before.is_some_and(|before| before != address) {
-                self.follower.reset_versions();
+            if self.sources.is_shared() && previous.is_some_and(|previous| previous != address) {
+                self.subscription.reset_versions();
             }
-            let call = self.follower.next_poll();
+            let call = self.subscription.next_poll();
             let request = list_request(endpoint, &call.path());
             // Guards against a dead or silent link: whatever fails, the next call begins with a new one.
-            let link = self.link.take();
-            let dial = dial(address, DIAL_WITHIN);
+            let conn = self.connection.take();
+            let dial = dial(address, DIAL_TIMEOUT);
             tokio::select! {
-                called = timeout(call.timeout, exchange(link, dial, request, LIST_MOST)) => break called??,
+                reply = timeout(call.timeout, exchange(conn, dial, request, MAX_LIST_BYTES)) => break reply??,
                 // Guards against waiting on where discovery no longer is: the same call is made at the new
                 // address.
-                () = self.whom.moves() => {}
+                () = self.sources.wait_for_move() => {}
             }
         };
         let discovery_unix_ms = origin_time(&headers).map(|time| time.as_secs_f64() * 1e3);
         let received = ReceivedAt { local: self.driver.clock().now(), discovery_unix_ms };
-        let answer = self.follower.on_response(&body, received);
+        let response = self.subscription.on_response(&body, received);
         self.log_problems();
-        let answer = answer?;
-        self.whom.answered();
-        self.link = Some(link);
+        let response = response?;
+        self.sources.record_success();
+        self.connection = Some(conn);
         if self.failing {
             self.failing = false;
             eprintln!("client-proxy: discovery answers again");
         }
-        let (index, news, in_vain) = match answer {
-            ListResponse::Applied { index, update: news, empty_watch: in_vain } => (index, news, in_vain),
+        let (index, update, empty_watch) = match response {
+            ListResponse::Applied { index, update, empty_watch } => (index, update, empty_watch),
             ListResponse::Rejected { index } => {
                 eprintln!(
                     "client-proxy: discovery: version {index} does not follow what is held: asking for all of it"
                 );
-                sleep(BREATH).await;
+                sleep(MIN_POLL_INTERVAL).await;
                 return Ok(());
             }
         };
-        self.hand_on(index);
-        let nothing = matches!(&news, EndpointUpdate::Changes(changes) if changes.is_empty());
-        if !nothing || self.mode == Mode::Pull {
-            self.driver.apply_endpoint_update(news);
+        self.publish_list(index);
+        let is_unchanged = matches!(&update, EndpointUpdate::Changes(changes) if changes.is_empty());
+        if !is_unchanged || self.mode == Mode::Pull {
+            self.driver.apply_endpoint_update(update);
         }
         self.ready.send_replace(true);
-        if in_vain && asked.elapsed() < BREATH {
-            sleep(BREATH).await;
+        if empty_watch && polled_at.elapsed() < MIN_POLL_INTERVAL {
+            sleep(MIN_POLL_INTERVAL).await;
         }
         Ok(())
     }
 
     /// After how long the same is to be asked again, of another relay or of the same one, if that is left.
-    fn go_elsewhere(&mut self, error: &PollError) -> Option<Duration> {
+    fn failover_backoff(&mut self, error: &PollError) -> Option<Duration> {
         // Guards against relays that are left alone for up to a minute because this process lacks a
         // descriptor.
-        if error.is_local() && !self.whom.is_shared() {
-            return Some(BREATH);
+        if error.is_local() && !self.sources.is_shared() {
+            return Some(MIN_POLL_INTERVAL);
         }
-        self.whom.failed()
+        self.sources.record_failure()
     }
 
     fn log_problems(&self) {
-        for problem in self.follower.entry_errors() {
+        for problem in self.subscription.entry_errors() {
             eprintln!("client-proxy: discovery: an entry is left out: {problem}");
         }
     }
 
     /// Leaves the list for the next process.
-    fn hand_on(&self, index: u64) {
-        let (Some(handover), Some(listed)) = (&self.handover, &self.follower.reader().raw_entries) else {
-            return;
-        };
-        let endpoints: Vec<Value> = listed.borrow().values().cloned().collect();
-        handover.hand_on(json!({"index": index, "snapshot": true, "endpoints": endpoints}));
+    fn publish_list(&self, index: u64) {
+        let (Some(state), Some(raw)) = (&self.state, &self.subscription.reader().raw_entries) else { return };
+        let endpoints: Vec<Value> = raw.borrow().values().cloned().collect();
+        state.publish_list(json!({"index": index, "snapshot": true, "endpoints": endpoints}));
     }
 
     /// Says so once, however long it lasts; the pause before the next call, where nobody else says when.
-    fn failed(&mut self, error: &PollError) -> Duration {
+    fn record_failure(&mut self, error: &PollError) -> Duration {
         if !self.failing {
             self.failing = true;
             eprintln!("client-proxy: discovery: {error}");
         }
-        self.follower.on_failure(error.is_invalid_response())
+        self.subscription.on_failure(error.is_invalid_response())
     }
 }
 
--- a/client-proxy/src/discovery/source_selector.rs
+++ b/client-proxy/src/discovery/source_selector.rs
@@ -19,7 +19,7 @@
     /// In its place, if there are any.
     relays: Option<(Sources, HeaderValue)>,
     rng: Pcg32,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl SourceSelector {
@@ -30,19 +30,19 @@
         let relays = relays.and_then(|Relays { near, far, authority }| {
             Some((Sources::new(&near, &far, &mut rng)?, HeaderValue::from_str(&authority).ok()?))
         });
-        SourceSelector { address, relays, rng, began: Instant::now() }
+        SourceSelector { address, relays, rng, started_at: Instant::now() }
     }
 
     /// Whether the next call goes elsewhere than the last one; asked before each.
-    pub fn moved(&mut self) -> bool {
+    pub fn has_moved(&mut self) -> bool {
         match &mut self.relays {
-            Some((sources, _)) => sources.fail_back(self.began.elapsed(), &mut self.rng),
+            Some((sources, _)) => sources.fail_back(self.started_at.elapsed(), &mut self.rng),
             None => self.address.has_changed().unwrap_or(false),
         }
     }
 
     /// Where the next call goes, and whose list it asks for.
-    pub fn next(&mut self) -> (SocketAddr, HeaderValue) {
+    pub fn next_source(&mut self) -> (SocketAddr, HeaderValue) {
         let address = *self.address.borrow_and_update();
         match &self.relays {
             Some((sources, authority)) => (sources.address(), authority.clone()),
@@ -54,7 +54,7 @@
     }
 
     /// Ready when discovery is said to be elsewhere; never, where relays are asked.
-    pub async fn moves(&mut self) {
+    pub async fn wait_for_move(&mut self) {
         if self.relays.is_some() || self.address.changed().await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -62,17 +62,17 @@
     }
 
     /// The last call was answered.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         if let Some((sources, _)) = &mut self.relays {
             sources.on_response();
         }
     }
 
     /// The last call failed: after how long the same is to be asked of another relay, if one is left.
-    pub fn failed(&mut self) -> Option<Duration> {
+    pub fn record_failure(&mut self) -> Option<Duration> {
         let (sources, _) = self.relays.as_mut()?;
-        match sources.on_failure(self.began.elapsed(), &mut self.rng) {
-            Fallback::NextSource(pause) => Some(pause),
+        match sources.on_failure(self.started_at.elapsed(), &mut self.rng) {
+            Fallback::NextSource(backoff) => Some(backoff),
             Fallback::AllFailed => None,
         }
     }
--- a/client-proxy/src/discovery/tests.rs
+++ b/client-proxy/src/discovery/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::driver::tests::{driver, settings};
 use crate::memory_budget::MemoryBudget;
-use crate::socket_budget::Sockets;
+use crate::socket_budget::SocketBudget;
 
 /// A follower of whatever address the sender names last, in virtual time.
 fn follow(mode: Mode) -> (watch::Sender<std::net::SocketAddr>, mpsc::UnboundedSender<DiscoveryCommand>) {
@@ -14,7 +14,7 @@
     let (moves, address) = watch::channel(refused);
     let (ask, asks) = mpsc::unbounded_channel();
     let endpoints =
-        EndpointPool::new(Sockets::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1000.0, 100.0);
+        EndpointPool::new(SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1000.0, 100.0);
     let whom = SourceSelector::new(address, None, 1);
     let discovery = Discovery::new(whom, mode, Names::default(), 1, endpoints, driver(), None);
     spawn_local(discovery.run(None, asks));
@@ -160,7 +160,7 @@
         let (moves, address) = watch::channel(address);
         let (wish, wishes) = mpsc::unbounded_channel();
         let endpoints =
-            EndpointPool::new(Sockets::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1000.0, 100.0);
+            EndpointPool::new(SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1000.0, 100.0);
         let (names, settings) = (Names::default(), balancer::Settings { discovery_mode: mode, ..settings() });
         let handover = Rc::new(ProcessState::open(None, "n0", &names));
         let driver = Driver::new(settings, names.clone(), seed, Rc::clone(&endpoints), handover, wish)
--- a/client-proxy/src/driver.rs
+++ b/client-proxy/src/driver.rs
@@ -6,7 +6,7 @@
 mod response_ticket;
 
 pub use metrics::OutcomeRecorder;
-pub use response_ticket::{FinalAnswer, FinalResponse, ResponseTicket};
+pub use response_ticket::{FinalOutcome, FinalResponse, ResponseTicket};
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -40,11 +40,11 @@
 }
 
 struct PendingRequest {
-    order: Rc<UpstreamRequest>,
+    request: Rc<UpstreamRequest>,
     /// Waits for a body that goes on as it comes.
-    _coming: Option<AbortOnDropHandle<()>>,
+    _body_task: Option<AbortOnDropHandle<()>>,
     /// There until the final answer is out or the client has left.
-    reply: Option<oneshot::Sender<FinalAnswer>>,
+    reply: Option<oneshot::Sender<FinalOutcome>>,
     /// `None` once it has ended.
     attempts: Vec<Option<InFlightAttempt>>,
 }
@@ -53,21 +53,21 @@
 struct InFlightAttempt {
     sent: Instant,
     /// Dropping it calls the attempt off.
-    _call_off: oneshot::Sender<()>,
+    _cancel: oneshot::Sender<()>,
 }
 
 impl PendingRequest {
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.reply.is_none() && self.attempts.iter().all(Option::is_none)
     }
 }
 
 struct DriverState {
     balancer: Balancer,
-    jobs: HashMap<RequestId, PendingRequest>,
+    requests: HashMap<RequestId, PendingRequest>,
     next_id: u64,
     /// Events that came up while another was handled.
-    queue: VecDeque<Event>,
+    pending_events: VecDeque<Event>,
 }
 
 /// See the module documentation.
@@ -75,21 +75,21 @@
     state: RefCell<DriverState>,
     clock: Clock,
     endpoints: Rc<EndpointPool>,
-    asks: mpsc::UnboundedSender<DiscoveryCommand>,
+    commands: mpsc::UnboundedSender<DiscoveryCommand>,
     ids: Rc<EndpointIds>,
     /// What operators have said of endpoints, for the next process too.
-    handover: Rc<ProcessState>,
+    process_state: Rc<ProcessState>,
     /// The part of it that the decisions were told.
-    told: RefCell<State>,
+    applied_state: RefCell<State>,
     /// How long an endpoint is cold at the most.
-    cold: Millis,
+    warm_up: Millis,
     /// Behind the numbers of the settings.
     names: Names,
     /// Some zones are nearer than others.
     locality: bool,
-    ended: RefCell<Vec<OutcomeCounts>>,
+    outcomes: RefCell<Vec<OutcomeCounts>>,
     /// Requests that were taken and have not ended.
-    taken: Cell<usize>,
+    requests_in_progress: Cell<usize>,
 }
 
 impl Driver {
@@ -102,28 +102,29 @@
         names: Names,
         seed: u64,
         endpoints: Rc<EndpointPool>,
-        handover: Rc<ProcessState>,
-        asks: mpsc::UnboundedSender<DiscoveryCommand>,
+        process_state: Rc<ProcessState>,
+        commands: mpsc::UnboundedSender<DiscoveryCommand>,
     ) -> Result<Rc<Driver>, SettingsError> {
-        let (ids, told, cold) = (Rc::default(), RefCell::default(), settings.contract.warm_up);
-        let ended = RefCell::new(vec![OutcomeCounts::default(); settings.classes.len()]);
+        let (ids, applied_state, warm_up) = (Rc::default(), RefCell::default(), settings.contract.warm_up);
+        let outcomes = RefCell::new(vec![OutcomeCounts::default(); settings.classes.len()]);
         let locality = settings.locality.is_some();
         let balancer = Balancer::new(settings, seed)?;
-        let state = DriverState { balancer, jobs: HashMap::new(), next_id: 0, queue: VecDeque::new() };
-        let (state, clock, taken) = (RefCell::new(state), handover.clock(), Cell::new(0));
+        let state =
+            DriverState { balancer, requests: HashMap::new(), next_id: 0, pending_events: VecDeque::new() };
+        let (state, clock, requests_in_progress) = (RefCell::new(state), process_state.clock(), Cell::new(0));
         let driver = Driver {
             state,
             clock,
             endpoints,
-            asks,
+            commands,
             ids,
-            handover,
-            told,
-            cold,
+            process_state,
+            applied_state,
+            warm_up,
             names,
             locality,
-            ended,
-            taken,
+            outcomes,
+            requests_in_progress,
         };
         Ok(Rc::new(driver))
     }
@@ -139,8 +140,8 @@
     }
 
     /// Passes on news of the list of endpoints.
-    pub fn apply_endpoint_update(self: &Rc<Self>, news: EndpointUpdate) {
-        self.handle_event(Event::EndpointUpdate(news));
+    pub fn apply_endpoint_update(self: &Rc<Self>, update: EndpointUpdate) {
+        self.handle_event(Event::EndpointUpdate(update));
     }
 
     /// An operator takes an endpoint out. It is durable before it is done.
@@ -148,11 +149,11 @@
     /// # Errors
     /// What to tell the operator; then nothing has changed.
     pub async fn detach(self: &Rc<Self>, name: &str) -> Result<(), String> {
-        let out = name.to_owned();
+        let disabled = name.to_owned();
         self.override_endpoint(name, move |state| {
-            state.back.remove(&out);
-            state.back_monotonic.remove(&out);
-            state.out.insert(out);
+            state.enabled_unix_ms.remove(&disabled);
+            state.enabled_at.remove(&disabled);
+            state.disabled.insert(disabled);
         })
         .await
     }
@@ -162,15 +163,15 @@
     /// # Errors
     /// What to tell the operator; then nothing has changed.
     pub async fn attach(self: &Rc<Self>, name: &str) -> Result<(), String> {
-        let (clock, cold, back) = (self.clock, self.cold, name.to_owned());
+        let (clock, warm_up, enabled) = (self.clock, self.warm_up, name.to_owned());
         self.override_endpoint(name, move |state| {
             // Here and not at the call, which may have waited for slow writes before this one.
             let now = clock.now();
             // What came back so long ago is warm by now.
-            state.forget_put_back_before(now - cold);
-            if state.out.remove(&back) {
-                state.back_monotonic.insert(&back, now);
-                state.back.insert(back, unix_ms());
+            state.forget_enabled_before(now - warm_up);
+            if state.disabled.remove(&enabled) {
+                state.enabled_at.insert(&enabled, now);
+                state.enabled_unix_ms.insert(enabled, unix_ms());
             }
         })
         .await
@@ -182,7 +183,7 @@
         change: impl FnOnce(&mut State) + Send + 'static,
     ) -> Result<(), String> {
         self.ids.get(name).ok_or_else(|| format!("no order server has the ID {name}"))?;
-        let written = self.handover.change(change).await;
+        let written = self.process_state.change(change).await;
         written.map_err(|error| format!("it cannot be written down: {error}"))?;
         self.apply_operator_overrides();
         Ok(())
@@ -190,52 +191,54 @@
 
     /// Tells the decisions what operators have said since they were told last.
     pub fn apply_operator_overrides(self: &Rc<Self>) {
-        let now = self.handover.state();
-        let told = self.told.replace(now.clone());
-        for name in now.out.difference(&told.out) {
+        let now = self.process_state.state();
+        let applied_state = self.applied_state.replace(now.clone());
+        for name in now.disabled.difference(&applied_state.disabled) {
             self.handle_event(Event::Disabled { endpoint: self.ids.get_or_assign(name) });
         }
-        let (now, told) = (&now.back_monotonic, &told.back_monotonic);
-        for (name, at) in now.iter().filter(|(name, at)| told.get(name) != Some(*at)) {
+        let (now, applied_state) = (&now.enabled_at, &applied_state.enabled_at);
+        for (name, at) in now.iter().filter(|(name, at)| applied_state.get(name) != Some(*at)) {
             self.handle_event(Event::Enabled { endpoint: self.ids.get_or_assign(name), at });
         }
     }
 
     /// Takes a request in. Its answer comes out of the ticket; dropping that says that the client has left.
-    pub fn take(self: &Rc<Self>, metadata: RequestMetadata, order: UpstreamRequest) -> ResponseTicket {
-        let (reply, answer) = oneshot::channel();
-        let (order, taken) = (Rc::new(order), Rc::new(Cell::new(false)));
+    pub fn submit(self: &Rc<Self>, metadata: RequestMetadata, request: UpstreamRequest) -> ResponseTicket {
+        let (reply, outcome) = oneshot::channel();
+        let (request, is_counted) = (Rc::new(request), Rc::new(Cell::new(false)));
         let id = {
             let mut state = self.state.borrow_mut();
             let id = RequestId(state.next_id);
             state.next_id += 1;
-            let coming = order.long().map(|_| self.wait_for_body(id, Rc::clone(&order), Rc::clone(&taken)));
-            let job = PendingRequest {
-                order: Rc::clone(&order),
-                _coming: coming,
+            let body_task = request
+                .streamed_body()
+                .map(|_| self.wait_for_body(id, Rc::clone(&request), Rc::clone(&is_counted)));
+            let pending = PendingRequest {
+                request: Rc::clone(&request),
+                _body_task: body_task,
                 reply: Some(reply),
                 attempts: Vec::new(),
             };
-            state.jobs.insert(id, job);
+            state.requests.insert(id, pending);
             id
         };
-        if order.long().is_none() {
-            self.count_accepted(&taken);
+        if request.streamed_body().is_none() {
+            self.count_accepted(&is_counted);
         }
-        let deadline = order.deadline();
-        let patience =
-            deadline.map_or(order.patience, |deadline| deadline.saturating_duration_since(Instant::now()));
-        let (patience, body_pending) = (patience.as_secs_f64() * 1e3, order.long().is_some());
+        let deadline = request.deadline();
+        let timeout = deadline
+            .map_or(request.client_timeout, |deadline| deadline.saturating_duration_since(Instant::now()));
+        let (timeout, body_pending) = (timeout.as_secs_f64() * 1e3, request.streamed_body().is_some());
         let class = metadata.class;
-        self.handle_event(Event::Request(NewRequest { id, timeout: patience, body_pending, metadata }));
-        let counted = OutcomeRecorder { class, taken, driver: Rc::clone(self) };
-        ResponseTicket { id, order, answer, counted: Some(counted), driver: Rc::clone(self) }
+        self.handle_event(Event::Request(NewRequest { id, timeout, body_pending, metadata }));
+        let recorder = OutcomeRecorder { class, is_counted, driver: Rc::clone(self) };
+        ResponseTicket { id, request, outcome, recorder: Some(recorder), driver: Rc::clone(self) }
     }
 
     /// A request is taken with its last byte.
-    fn count_accepted(&self, taken: &Cell<bool>) {
-        if !taken.replace(true) {
-            self.taken.set(self.taken.get() + 1);
+    fn count_accepted(&self, is_counted: &Cell<bool>) {
+        if !is_counted.replace(true) {
+            self.requests_in_progress.set(self.requests_in_progress.get() + 1);
         }
     }
 
@@ -243,43 +246,53 @@
     fn wait_for_body(
         self: &Rc<Self>,
         id: RequestId,
-        order: Rc<UpstreamRequest>,
-        taken: Rc<Cell<bool>>,
+        request: Rc<UpstreamRequest>,
+        is_counted: Rc<Cell<bool>>,
     ) -> AbortOnDropHandle<()> {
         let driver = Rc::clone(self);
         AbortOnDropHandle::new(spawn_local(async move {
-            if let Some(long) = order.long()
-                && let Ok(came) = long.settled().await
+            if let Some(body) = request.streamed_body()
+                && let Ok(completed_at) = body.wait_until_complete().await
             {
-                driver.count_accepted(&taken);
-                let left = (came + order.patience).saturating_duration_since(Instant::now());
-                driver.handle_event(Event::BodyComplete { id, timeout: left.as_secs_f64() * 1e3 });
+                driver.count_accepted(&is_counted);
+                let remaining =
+                    (completed_at + request.client_timeout).saturating_duration_since(Instant::now());
+                driver.handle_event(Event::BodyComplete { id, timeout: remaining.as_secs_f64() * 1e3 });
             }
         }))
     }
 
     /// The client has left, or has been answered without the decisions.
-    fn gone(self: &Rc<Self>, id: RequestId) {
-        let waited = self.state.borrow_mut().jobs.get_mut(&id).and_then(|job| job.reply.take()).is_some();
-        if waited {
+    fn client_disconnected(self: &Rc<Self>, id: RequestId) {
+        let was_waiting =
+            self.state.borrow_mut().requests.get_mut(&id).and_then(|pending| pending.reply.take()).is_some();
+        if was_waiting {
             self.handle_event(Event::ClientDisconnected { id });
         }
     }
 
-    fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: usize, end: AttemptResult) {
+    fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: usize, result: AttemptResult) {
         let event = {
             let mut state = self.state.borrow_mut();
-            let Some(job) = state.jobs.get_mut(&id) else { return };
+            let Some(pending) = state.requests.get_mut(&id) else { return };
             // Guards against an end that crosses a cancel: each attempt has exactly one.
-            let Some(out) = job.attempts.get_mut(attempt).and_then(Option::take) else { return };
-            if let Some(served) = end.served
-                && let Some(reply) = job.reply.take()
+            let Some(in_flight) = pending.attempts.get_mut(attempt).and_then(Option::take) else { return };
+            if let Some(served) = result.served
+                && let Some(reply) = pending.reply.take()
             {
                 // One who has just left gets nothing; the decisions learn of the outcome all the same.
-                let _ = reply.send(FinalAnswer::Served(served));
+                let _ = reply.send(FinalOutcome::Served(served));
             }
-            let took = end.took.unwrap_or_else(|| out.sent.elapsed());
-            attempt_end(id, attempt, end.outcome, took, job.reply.is_none(), end.report, end.spent)
+            let latency = result.service_time.unwrap_or_else(|| in_flight.sent.elapsed());
+            attempt_end(
+                id,
+                attempt,
+                result.outcome,
+                latency,
+                pending.reply.is_none(),
+                result.report,
+                result.is_body_spent,
+            )
         };
         self.handle_event(event);
     }
@@ -288,10 +301,10 @@
     fn handle_event(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        state.queue.push_back(event);
+        state.pending_events.push_back(event);
         let mut actions = Vec::new();
-        while let Some(event) = state.queue.pop_front() {
-            let about = match &event {
+        while let Some(event) = state.pending_events.pop_front() {
+            let request_id = match &event {
                 Event::AttemptFinished(AttemptEnd { id, .. }) | Event::ClientDisconnected { id } => Some(*id),
                 _ => None,
             };
@@ -299,17 +312,17 @@
             for action in actions.drain(..) {
                 self.execute(state, action);
             }
-            if let Some(id) = about {
-                forget_if_over(state, id);
+            if let Some(id) = request_id {
+                remove_if_finished(state, id);
             }
         }
     }
 }
 
 /// Drops a request once nothing more can be said of it.
-fn forget_if_over(state: &mut DriverState, id: RequestId) {
-    if state.jobs.get(&id).is_some_and(PendingRequest::is_over) {
-        state.jobs.remove(&id);
+fn remove_if_finished(state: &mut DriverState, id: RequestId) {
+    if state.requests.get(&id).is_some_and(PendingRequest::is_finished) {
+        state.requests.remove(&id);
     }
 }
 
--- a/client-proxy/src/driver/actions.rs
+++ b/client-proxy/src/driver/actions.rs
@@ -8,25 +8,35 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-use super::{DiscoveryCommand, Driver, DriverState, FinalAnswer, InFlightAttempt, forget_if_over};
-use crate::endpoint_pool::millis;
+use super::{DiscoveryCommand, Driver, DriverState, FinalOutcome, InFlightAttempt, remove_if_finished};
+use crate::endpoint_pool::duration_from_ms;
 
 impl Driver {
     pub(super) fn execute(self: &Rc<Self>, state: &mut DriverState, action: Action) {
         match action {
             Action::Send { id, endpoint, timeout } => self.send(state, id, endpoint, timeout),
             Action::Cancel { id, attempt } => {
-                let Some(job) = state.jobs.get_mut(&id) else { return };
+                let Some(pending) = state.requests.get_mut(&id) else { return };
                 let attempt = attempt as usize;
-                if let Some(out) = job.attempts.get_mut(attempt).and_then(Option::take) {
-                    let (latency, over) = (out.sent.elapsed(), job.reply.is_none());
-                    let report = LoadReport::default();
-                    let end = attempt_end(id, attempt, Outcome::Cancelled, latency, over, report, false);
-                    state.queue.push_back(end);
+                if let Some(in_flight) = pending.attempts.get_mut(attempt).and_then(Option::take) {
+                    let (latency, request_ended) = (in_flight.sent.elapsed(), pending.reply.is_none());
+                    let load_report = LoadReport::default();
+                    let event = attempt_end(
+                        id,
+                        attempt,
+                        Outcome::Cancelled,
+                        latency,
+                        request_ended,
+                        load_report,
+                        false,
+                    );
+                    state.pending_events.push_back(event);
                 }
             }
-            Action::Reject { id, retry_after } => answer(state, id, FinalAnswer::Refused(retry_after)),
-            Action::Fail { id } => answer(state, id, FinalAnswer::Failed),
+            Action::Reject { id, retry_after } => {
+                send_outcome(state, id, FinalOutcome::Rejected(retry_after))
+            }
+            Action::Fail { id } => send_outcome(state, id, FinalOutcome::Failed),
             Action::SetTimer { at, token } => {
                 let (driver, at) = (Rc::clone(self), self.clock.instant(at));
                 spawn_local(async move {
@@ -37,8 +47,8 @@
             Action::CloseIdleConnections { endpoint } => self.endpoints.close_idle(endpoint),
             Action::ReleaseEndpointId { endpoint } => self.ids.release(endpoint),
             // The receiver lives as long as the program; where it has gone, so has the program.
-            Action::Watch => drop(self.asks.send(DiscoveryCommand::Watch)),
-            Action::Fetch => drop(self.asks.send(DiscoveryCommand::Fetch)),
+            Action::Watch => drop(self.commands.send(DiscoveryCommand::Watch)),
+            Action::Fetch => drop(self.commands.send(DiscoveryCommand::Fetch)),
             Action::Log(line) => eprintln!("client-proxy: {line}"),
             // The decisions neither probe nor talk to each other; where that changes it must be seen.
             Action::Probe { .. } | Action::SendToPeer { .. } => {
@@ -54,38 +64,46 @@
         endpoint: EndpointId,
         timeout: Option<Millis>,
     ) {
-        let Some(job) = state.jobs.get_mut(&id) else { return };
-        let (attempt, sent) = (job.attempts.len(), Instant::now());
-        if job.reply.is_none() || job.order.deadline().is_some_and(|deadline| sent >= deadline) {
+        let Some(pending) = state.requests.get_mut(&id) else { return };
+        let (attempt, sent) = (pending.attempts.len(), Instant::now());
+        if pending.reply.is_none() || pending.request.deadline().is_some_and(|deadline| sent >= deadline) {
             // Guards against an attempt for one who has left or whose time is up.
-            job.attempts.push(None);
-            let over = job.reply.is_none();
-            let report = LoadReport::default();
-            let end = attempt_end(id, attempt, Outcome::NeverSent, Duration::ZERO, over, report, false);
-            state.queue.push_back(end);
+            pending.attempts.push(None);
+            let request_ended = pending.reply.is_none();
+            let load_report = LoadReport::default();
+            let event = attempt_end(
+                id,
+                attempt,
+                Outcome::NeverSent,
+                Duration::ZERO,
+                request_ended,
+                load_report,
+                false,
+            );
+            state.pending_events.push_back(event);
             return;
         }
-        let (call_off, called_off) = oneshot::channel::<()>();
-        job.attempts.push(Some(InFlightAttempt { sent, _call_off: call_off }));
-        let until = timeout.map(|timeout| sent + millis(timeout));
-        let (driver, order) = (Rc::clone(self), Rc::clone(&job.order));
+        let (cancel, cancelled) = oneshot::channel::<()>();
+        pending.attempts.push(Some(InFlightAttempt { sent, _cancel: cancel }));
+        let until = timeout.map(|timeout| sent + duration_from_ms(timeout));
+        let (driver, request) = (Rc::clone(self), Rc::clone(&pending.request));
         spawn_local(async move {
-            let end = tokio::select! {
+            let event = tokio::select! {
                 biased;
-                _ = called_off => return, // and its connection closes
-                end = driver.endpoints.attempt(endpoint, &order, until) => end,
+                _ = cancelled => return, // and its connection closes
+                event = driver.endpoints.attempt(endpoint, &request, until) => event,
             };
-            driver.attempt_ended(id, attempt, end);
+            driver.attempt_ended(id, attempt, event);
         });
     }
 }
 
-fn answer(state: &mut DriverState, id: RequestId, answer: FinalAnswer) {
-    if let Some(reply) = state.jobs.get_mut(&id).and_then(|job| job.reply.take()) {
+fn send_outcome(state: &mut DriverState, id: RequestId, outcome: FinalOutcome) {
+    if let Some(reply) = state.requests.get_mut(&id).and_then(|pending| pending.reply.take()) {
         // One who has just left gets nothing.
-        let _ = reply.send(answer);
+        let _ = reply.send(outcome);
     }
-    forget_if_over(state, id);
+    remove_if_finished(state, id);
 }
 
 pub(super) fn attempt_end(
@@ -93,9 +111,9 @@
     attempt: usize,
     outcome: Outcome,
     latency: Duration,
-    ended: bool,
-    report: LoadReport,
-    spent: bool,
+    request_ended: bool,
+    load_report: LoadReport,
+    is_body_spent: bool,
 ) -> Event {
     let latency = latency.as_secs_f64() * 1e3;
     Event::AttemptFinished(AttemptEnd {
@@ -103,8 +121,8 @@
         attempt: attempt as u32,
         outcome,
         latency,
-        request_ended: ended,
-        load_report: report,
-        cannot_resend: spent,
+        request_ended,
+        load_report,
+        cannot_resend: is_body_spent,
     })
 }
--- a/client-proxy/src/driver/metrics.rs
+++ b/client-proxy/src/driver/metrics.rs
@@ -13,73 +13,77 @@
 #[derive(Clone, Copy, Default)]
 pub(super) struct OutcomeCounts {
     pub(super) served: u64,
-    pub(super) refused: u64,
+    pub(super) rejected: u64,
     pub(super) failed: u64,
 }
 
 impl Driver {
     /// The figures for operators, as one line of JSON. Counts are from the start of the process.
-    pub fn figures(&self) -> Value {
+    pub fn metrics_json(&self) -> Value {
         let by_class = |count: fn(&OutcomeCounts) -> u64| -> Value {
-            let ended = self.ended.borrow();
+            let outcomes = self.outcomes.borrow();
             self.names
                 .classes
                 .iter()
-                .zip(ended.iter())
-                .map(|(class, ended)| (class.clone(), count(ended)))
+                .zip(outcomes.iter())
+                .map(|(class, outcomes)| (class.clone(), count(outcomes)))
                 .collect()
         };
-        let listed = self.endpoints.endpoint_ids();
+        let endpoints = self.endpoints.endpoint_ids();
         let state = self.state.borrow();
         let avoided = state.balancer.excluded_endpoints(self.clock.now());
-        let mut figures = json!({
-            "success": by_class(|ended| ended.served),
-            "overload": by_class(|ended| ended.refused),
-            "error": by_class(|ended| ended.failed),
+        let mut metrics = json!({
+            "success": by_class(|outcomes| outcomes.served),
+            "overload": by_class(|outcomes| outcomes.rejected),
+            "error": by_class(|outcomes| outcomes.failed),
             "dispatches": self.endpoints.fully_written(),
-            "concurrent": self.taken.get(),
-            "targets": listed.len(),
-            "targets_disabled": avoided.filter(|endpoint| listed.contains(endpoint)).count(),
+            "concurrent": self.requests_in_progress.get(),
+            "targets": endpoints.len(),
+            "targets_disabled": avoided.filter(|endpoint| endpoints.contains(endpoint)).count(),
         });
         if self.locality {
-            figures["zones_left"] =
-                state.balancer.ejected_zones().iter().map(|left| self.zone_left(left)).collect();
+            metrics["zones_left"] = state
+                .balancer
+                .ejected_zones()
+                .iter()
+                .map(|ejected| self.ejected_zone_json(ejected))
+                .collect();
         }
-        figures
+        metrics
     }
 
     /// A zone that gets nothing but trials, for operators.
-    fn zone_left(&self, left: &EjectedZone) -> Value {
-        let zone = self.names.zones.get(left.zone).map_or("unknown", String::as_str);
-        let why = match (left.own_network_suspected, left.unresponsive) {
+    fn ejected_zone_json(&self, ejected: &EjectedZone) -> Value {
+        let zone = self.names.zones.get(ejected.zone).map_or("unknown", String::as_str);
+        let reason = match (ejected.own_network_suspected, ejected.unresponsive) {
             (true, _) => "own network",
             (false, true) => "silent",
             (false, false) => "connections fail",
         };
-        json!({"zone": zone, "why": why, "for_ms": (self.clock.now() - left.ejected_at).round()})
+        json!({"zone": zone, "why": reason, "for_ms": (self.clock.now() - ejected.ejected_at).round()})
     }
 }
 
 /// A request that was taken and has not ended; it has once this is dropped.
 pub struct OutcomeRecorder {
     pub(super) class: usize,
-    pub(super) taken: Rc<Cell<bool>>,
+    pub(super) is_counted: Rc<Cell<bool>>,
     pub(super) driver: Rc<Driver>,
 }
 
 impl OutcomeRecorder {
-    pub(super) fn count(&self, count: impl FnOnce(&mut OutcomeCounts)) {
-        if let Some(ended) = self.driver.ended.borrow_mut().get_mut(self.class) {
-            count(ended);
+    pub(super) fn record(&self, count: impl FnOnce(&mut OutcomeCounts)) {
+        if let Some(outcomes) = self.driver.outcomes.borrow_mut().get_mut(self.class) {
+            count(outcomes);
         }
     }
 
     /// An answer that is passed on as it comes was counted as served when it was begun; it did not come
     /// whole.
-    pub fn broke(&self) {
-        self.count(|ended| {
-            ended.served -= 1;
-            ended.failed += 1;
+    pub fn record_truncated(&self) {
+        self.record(|outcomes| {
+            outcomes.served -= 1;
+            outcomes.failed += 1;
         });
     }
 }
@@ -87,8 +91,8 @@
 impl Drop for OutcomeRecorder {
     fn drop(&mut self) {
         // Whatever still waits for the body counts no more.
-        if self.taken.replace(true) {
-            self.driver.taken.set(self.driver.taken.get() - 1);
+        if self.is_counted.replace(true) {
+            self.driver.requests_in_progress.set(self.driver.requests_in_progress.get() - 1);
         }
     }
 }
--- a/client-proxy/src/driver/response_ticket.rs
+++ b/client-proxy/src/driver/response_ticket.rs
@@ -14,11 +14,11 @@
 use crate::upstream_request::UpstreamRequest;
 
 /// A final answer.
-pub enum FinalAnswer {
+pub enum FinalOutcome {
     /// An endpoint's own.
     Served(Served),
     /// Trying again does no harm; how long the client ought to keep away.
-    Refused(Option<Millis>),
+    Rejected(Option<Millis>),
     /// Promises nothing.
     Failed,
 }
@@ -26,20 +26,20 @@
 /// The final answer to a request, and what the end of the request is up to from here on.
 pub struct FinalResponse {
     /// All of it, or what there is to begin with.
-    pub answer: FinalAnswer,
+    pub outcome: FinalOutcome,
     /// Goes when the answer has gone out.
-    pub counted: Option<OutcomeRecorder>,
+    pub recorder: Option<OutcomeRecorder>,
     /// For an answer that goes on as it comes.
-    pub passing: ResponseForwarder,
+    pub forwarder: ResponseForwarder,
 }
 
 /// The client's side of a request that was taken in.
 pub struct ResponseTicket {
     pub(super) id: RequestId,
-    pub(super) order: Rc<UpstreamRequest>,
-    pub(super) answer: oneshot::Receiver<FinalAnswer>,
+    pub(super) request: Rc<UpstreamRequest>,
+    pub(super) outcome: oneshot::Receiver<FinalOutcome>,
     /// There until the final answer is.
-    pub(super) counted: Option<OutcomeRecorder>,
+    pub(super) recorder: Option<OutcomeRecorder>,
     pub(super) driver: Rc<Driver>,
 }
 
@@ -49,20 +49,20 @@
     ///
     /// # Errors
     /// When the request's body did not come whole: then there is no request to answer.
-    pub async fn answer(mut self, slack: Duration) -> Result<FinalResponse, BodyError> {
-        let order = Rc::clone(&self.order);
-        let awaited = PendingResponse::new(Rc::clone(&order), slack);
-        let broken = async {
-            match order.long() {
-                Some(long) => match long.settled().await {
+    pub async fn final_response(mut self, slack: Duration) -> Result<FinalResponse, BodyError> {
+        let request = Rc::clone(&self.request);
+        let pending_response = PendingResponse::new(Rc::clone(&request), slack);
+        let body_failed = async {
+            match request.streamed_body() {
+                Some(body) => match body.wait_until_complete().await {
                     Ok(_) => std::future::pending().await,
-                    Err(trouble) => trouble,
+                    Err(error) => error,
                 },
                 None => std::future::pending().await,
             }
         };
-        let left = async {
-            match order.abandoned().await {
+        let disconnected = async {
+            match request.client_hung_up().await {
                 HangUp::Reset => BodyError::Incomplete,
                 HangUp::Closed => {
                     // It may still read, so what is out may still be answered.
@@ -71,37 +71,37 @@
                 }
             }
         };
-        let answer = tokio::select! {
+        let outcome = tokio::select! {
             biased;
-            trouble = broken => return Err(trouble),
-            answer = &mut self.answer => answer.unwrap_or(FinalAnswer::Failed),
-            _ = awaited.due() => {
+            error = body_failed => return Err(error),
+            outcome = &mut self.outcome => outcome.unwrap_or(FinalOutcome::Failed),
+            _ = pending_response.overdue() => {
                 eprintln!("client-proxy: a request was left without an answer until its time was up");
-                FinalAnswer::Failed
+                FinalOutcome::Failed
             }
-            trouble = left => return Err(trouble),
+            error = disconnected => return Err(error),
         };
         // The one place that counts how requests ended: every final answer to a client comes out here.
-        let counted = self.counted.take();
-        if let Some(counted) = &counted {
-            counted.count(|ended| match &answer {
-                FinalAnswer::Served(_) => ended.served += 1,
-                FinalAnswer::Refused(_) => ended.refused += 1,
-                FinalAnswer::Failed => ended.failed += 1,
+        let recorder = self.recorder.take();
+        if let Some(recorder) = &recorder {
+            recorder.record(|counts| match &outcome {
+                FinalOutcome::Served(_) => counts.served += 1,
+                FinalOutcome::Rejected(_) => counts.rejected += 1,
+                FinalOutcome::Failed => counts.failed += 1,
             });
         }
-        let length = match &answer {
-            FinalAnswer::Served(Served { body: UpstreamBody::Streamed(rest), .. }) => {
-                rest.size_hint().exact()
+        let length = match &outcome {
+            FinalOutcome::Served(Served { body: UpstreamBody::Streamed(stream), .. }) => {
+                stream.size_hint().exact()
             }
             _ => Some(0),
         };
-        Ok(FinalResponse { answer, counted, passing: awaited.pass_on(length) })
+        Ok(FinalResponse { outcome, recorder, forwarder: pending_response.start_forwarding(length) })
     }
 }
 
 impl Drop for ResponseTicket {
     fn drop(&mut self) {
-        self.driver.gone(self.id);
+        self.driver.client_disconnected(self.id);
     }
 }
--- a/client-proxy/src/driver/tests.rs
+++ b/client-proxy/src/driver/tests.rs
@@ -8,7 +8,7 @@
 
 use super::*;
 use crate::memory_budget::MemoryBudget;
-use crate::socket_budget::Sockets;
+use crate::socket_budget::SocketBudget;
 
 /// The least that there have to be.
 pub(crate) fn settings() -> Settings {
@@ -24,7 +24,7 @@
 /// One that knows no endpoint.
 pub(crate) fn driver() -> Rc<Driver> {
     let endpoints =
-        EndpointPool::new(Sockets::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1000.0, 100.0);
+        EndpointPool::new(SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1000.0, 100.0);
     let classes = vec!["look".to_owned()];
     let (names, asks) = (Names { classes, ..Names::default() }, mpsc::unbounded_channel().0);
     let handover = Rc::new(ProcessState::open(None, "n0", &names));
@@ -40,7 +40,7 @@
 
 /// One that the decisions know nothing of, so that only the watchdog ends it.
 fn forgotten(driver: &Rc<Driver>) -> ResponseTicket {
-    let ticket = driver.take(RequestMetadata::default(), order());
+    let ticket = driver.submit(RequestMetadata::default(), order());
     driver.state.borrow_mut().balancer = Balancer::new(settings(), 1).expect("usable");
     ticket
 }
@@ -57,22 +57,22 @@
     run(async {
         let driver = driver();
         let (left, waits) = (
-            driver.take(RequestMetadata::default(), order()),
-            driver.take(RequestMetadata::default(), order()),
+            driver.submit(RequestMetadata::default(), order()),
+            driver.submit(RequestMetadata::default(), order()),
         );
-        assert_eq!(driver.figures()["concurrent"], 2);
+        assert_eq!(driver.metrics_json()["concurrent"], 2);
         drop(left);
         assert!(matches!(
-            waits.answer(SLACK).await,
-            Ok(FinalResponse { answer: FinalAnswer::Refused(_), .. })
+            waits.final_response(SLACK).await,
+            Ok(FinalResponse { outcome: FinalOutcome::Rejected(_), .. })
         ));
         assert!(matches!(
-            forgotten(&driver).answer(SLACK).await,
-            Ok(FinalResponse { answer: FinalAnswer::Failed, .. })
+            forgotten(&driver).final_response(SLACK).await,
+            Ok(FinalResponse { outcome: FinalOutcome::Failed, .. })
         ));
         let wanted = json!({"success": {"look": 0}, "overload": {"look": 1}, "error": {"look": 1},
             "dispatches": 0, "concurrent": 0, "targets": 0, "targets_disabled": 0});
-        assert_eq!(driver.figures(), wanted);
+        assert_eq!(driver.metrics_json(), wanted);
     });
 }
 
@@ -82,9 +82,12 @@
 fn a_request_whose_job_is_gone_fails_at_once() {
     run(async {
         let (driver, start) = (driver(), Instant::now());
-        let ticket = driver.take(RequestMetadata::default(), order());
-        driver.state.borrow_mut().jobs.clear();
-        assert!(matches!(ticket.answer(SLACK).await, Ok(FinalResponse { answer: FinalAnswer::Failed, .. })));
+        let ticket = driver.submit(RequestMetadata::default(), order());
+        driver.state.borrow_mut().requests.clear();
+        assert!(matches!(
+            ticket.final_response(SLACK).await,
+            Ok(FinalResponse { outcome: FinalOutcome::Failed, .. })
+        ));
         assert_eq!(start.elapsed(), Duration::ZERO);
     });
 }
@@ -95,23 +98,23 @@
     run(async {
         let driver = driver();
         // Refused by the decisions: there is no endpoint.
-        let ticket = driver.take(RequestMetadata::default(), order());
+        let ticket = driver.submit(RequestMetadata::default(), order());
         assert!(matches!(
-            ticket.answer(SLACK).await,
-            Ok(FinalResponse { answer: FinalAnswer::Refused(_), .. })
+            ticket.final_response(SLACK).await,
+            Ok(FinalResponse { outcome: FinalOutcome::Rejected(_), .. })
         ));
         // The client leaves, and one while its answer lies ready.
-        drop(driver.take(RequestMetadata::default(), order()));
-        let late = driver.take(RequestMetadata::default(), order());
+        drop(driver.submit(RequestMetadata::default(), order()));
+        let late = driver.submit(RequestMetadata::default(), order());
         sleep_until(Instant::now() + Duration::from_millis(399)).await;
-        assert!(driver.state.borrow().jobs.is_empty());
+        assert!(driver.state.borrow().requests.is_empty());
         drop(late);
-        assert_eq!(driver.figures()["concurrent"], 0);
+        assert_eq!(driver.metrics_json()["concurrent"], 0);
         // The watchdog comes before the decisions.
         assert!(matches!(
-            forgotten(&driver).answer(SLACK).await,
-            Ok(FinalResponse { answer: FinalAnswer::Failed, .. })
+            forgotten(&driver).final_response(SLACK).await,
+            Ok(FinalResponse { outcome: FinalOutcome::Failed, .. })
         ));
-        assert!(driver.state.borrow().jobs.is_empty());
+        assert!(driver.state.borrow().requests.is_empty());
     });
 }
--- a/client-proxy/src/endpoint_pool.rs
+++ b/client-proxy/src/endpoint_pool.rs
@@ -19,7 +19,7 @@
 
 use self::connection::{IdleConnection, PooledConnection};
 use crate::memory_budget::MemoryBudget;
-use crate::socket_budget::Sockets;
+use crate::socket_budget::SocketBudget;
 
 /// What a connection's buffer holds at most, in each direction.
 pub const BUFFER_SIZE: usize = 16 * 1024;
@@ -32,38 +32,38 @@
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 struct KnownEndpoint {
-    place: EndpointLocation,
+    location: EndpointLocation,
     idle: Vec<IdleConnection>,
 }
 
 /// All endpoints that discovery has named, and the connections to them that are idle.
 pub struct EndpointPool {
-    sockets: Rc<Sockets>,
-    table: RefCell<HashMap<EndpointId, KnownEndpoint>>,
-    idle_most: Duration,
-    dial_most: Duration,
+    sockets: Rc<SocketBudget>,
+    endpoints: RefCell<HashMap<EndpointId, KnownEndpoint>>,
+    max_idle: Duration,
+    dial_timeout: Duration,
     /// Attempts whose last byte was written.
     fully_written: Rc<Cell<u64>>,
     /// For answers.
-    room: Rc<MemoryBudget>,
+    response_memory: Rc<MemoryBudget>,
 }
 
 impl EndpointPool {
     /// No endpoints yet. `conn_idle` is when endpoints close what is idle, `dial_timeout` when a dial has
     /// failed.
     pub fn new(
-        sockets: Rc<Sockets>,
-        room: Rc<MemoryBudget>,
+        sockets: Rc<SocketBudget>,
+        response_memory: Rc<MemoryBudget>,
         conn_idle: f64,
         dial_timeout: f64,
     ) -> Rc<EndpointPool> {
         Rc::new(EndpointPool {
             sockets,
-            table: RefCell::default(),
-            idle_most: millis(conn_idle * IDLE_TTL_SHARE),
-            dial_most: millis(dial_timeout),
+            endpoints: RefCell::default(),
+            max_idle: duration_from_ms(conn_idle * IDLE_TTL_SHARE),
+            dial_timeout: duration_from_ms(dial_timeout),
             fully_written: Rc::default(),
-            room,
+            response_memory,
         })
     }
 
@@ -74,54 +74,54 @@
 
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: EndpointId) {
-        if let Some(upstream) = self.table.borrow_mut().get_mut(&endpoint) {
-            upstream.idle.clear();
+        if let Some(known) = self.endpoints.borrow_mut().get_mut(&endpoint) {
+            known.idle.clear();
         }
     }
 
     /// Closes the connections to an endpoint that have been idle since before `instant`.
     fn close_idle_since_before(&self, endpoint: EndpointId, instant: Instant) {
-        if let Some(upstream) = self.table.borrow_mut().get_mut(&endpoint) {
-            upstream.idle.retain(|idle| idle.since >= instant);
+        if let Some(known) = self.endpoints.borrow_mut().get_mut(&endpoint) {
+            known.idle.retain(|idle| idle.since >= instant);
         }
     }
 
     /// Frees a place in the budget of sockets by closing whichever connection has been idle for longest.
     pub fn evict_idle(&self) -> bool {
-        let mut table = self.table.borrow_mut();
-        let longest = table
+        let mut endpoints = self.endpoints.borrow_mut();
+        let longest_idle = endpoints
             .values_mut()
-            .filter(|upstream| !upstream.idle.is_empty())
-            .min_by_key(|upstream| upstream.idle[0].since);
-        longest.map(|upstream| upstream.idle.remove(0)).is_some()
+            .filter(|known| !known.idle.is_empty())
+            .min_by_key(|known| known.idle[0].since);
+        longest_idle.map(|known| known.idle.remove(0)).is_some()
     }
 
     /// Closes what has been idle for long or was closed by its endpoint, for as long as the program runs.
     pub async fn sweep(self: Rc<Self>) {
         loop {
             sleep(SWEEP_INTERVAL).await;
-            for upstream in self.table.borrow_mut().values_mut() {
-                upstream.idle.retain(|idle| {
-                    idle.since.elapsed() < self.idle_most
+            for known in self.endpoints.borrow_mut().values_mut() {
+                known.idle.retain(|idle| {
+                    idle.since.elapsed() < self.max_idle
                         && !idle.conn.sender.is_closed()
-                        && idle.conn.watched.is_quiet()
+                        && idle.conn.stream.is_quiet()
                 });
             }
         }
     }
 
-    fn serving(&self, endpoint: EndpointId) -> Option<EndpointLocation> {
-        self.table.borrow().get(&endpoint).map(|upstream| upstream.place).filter(|place| place.serving)
+    fn serving_location(&self, endpoint: EndpointId) -> Option<EndpointLocation> {
+        self.endpoints.borrow().get(&endpoint).map(|known| known.location).filter(|location| location.serving)
     }
 
-    fn keep(&self, endpoint: EndpointId, place: EndpointLocation, conn: PooledConnection) {
-        let mut table = self.table.borrow_mut();
-        let upstream = table.get_mut(&endpoint).filter(|upstream| upstream.place == place && place.serving);
+    fn return_connection(&self, endpoint: EndpointId, location: EndpointLocation, conn: PooledConnection) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let known =
+            endpoints.get_mut(&endpoint).filter(|known| known.location == location && location.serving);
         // Guards against a connection on which half a request was written.
-        if let Some(upstream) =
-            upstream.filter(|_| !conn.sender.is_closed() && !conn.watched.is_partially_written())
+        if let Some(known) = known.filter(|_| !conn.sender.is_closed() && !conn.stream.is_partially_written())
         {
-            upstream.idle.push(IdleConnection { conn, since: Instant::now() });
+            known.idle.push(IdleConnection { conn, since: Instant::now() });
         }
     }
 }
@@ -129,25 +129,25 @@
 impl EndpointLocations for EndpointPool {
     /// Connections to an earlier process or address, or to an endpoint that wants nothing new, are of no more
     /// use.
-    fn set_location(&self, endpoint: EndpointId, place: EndpointLocation) {
-        let mut table = self.table.borrow_mut();
-        let upstream = table.entry(endpoint).or_insert_with(|| KnownEndpoint { place, idle: Vec::new() });
-        if upstream.place != place {
-            *upstream = KnownEndpoint { place, idle: Vec::new() };
+    fn set_location(&self, endpoint: EndpointId, location: EndpointLocation) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let known = endpoints.entry(endpoint).or_insert_with(|| KnownEndpoint { location, idle: Vec::new() });
+        if known.location != location {
+            *known = KnownEndpoint { location, idle: Vec::new() };
         }
     }
 
     fn remove(&self, endpoint: EndpointId) {
-        self.table.borrow_mut().remove(&endpoint);
+        self.endpoints.borrow_mut().remove(&endpoint);
     }
 
     fn endpoint_ids(&self) -> Vec<EndpointId> {
-        self.table.borrow().keys().copied().collect()
+        self.endpoints.borrow().keys().copied().collect()
     }
 }
 
 /// Milliseconds of the settings as a time; absurdly long ones are cut to a day.
-pub fn millis(ms: f64) -> Duration {
+pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.clamp(0.0, 86_400_000.0) / 1000.0)
 }
 
--- a/client-proxy/src/endpoint_pool/attempt.rs
+++ b/client-proxy/src/endpoint_pool/attempt.rs
@@ -13,8 +13,8 @@
 
 use super::connection::PooledConnection;
 use super::response::{
-    ConnectionOrigin, ReadBody, Served, Streamed, UpstreamBody, X_PRESSURE, classify_response,
-    parse_load_report, served,
+    ConnectionOrigin, ReadBody, Served, StreamedResponseBody, UpstreamBody, X_PRESSURE, classify_response,
+    parse_load_report, served_result,
 };
 use super::{BUFFER_SIZE, EndpointPool, STALL_TIMEOUT};
 use crate::headers::X_REMAINING_MS;
@@ -38,15 +38,21 @@
     /// The answer, exactly where the outcome is [`Outcome::Served`].
     pub served: Option<Served>,
     /// The request's body cannot be sent again.
-    pub spent: bool,
+    pub is_body_spent: bool,
     /// How long the endpoint had the request, where that is not since the attempt was begun.
-    pub took: Option<Duration>,
+    pub service_time: Option<Duration>,
 }
 
 impl AttemptResult {
     /// An end without an answer.
-    pub fn bare(outcome: Outcome) -> AttemptResult {
-        AttemptResult { outcome, report: LoadReport::default(), served: None, spent: false, took: None }
+    pub fn without_response(outcome: Outcome) -> AttemptResult {
+        AttemptResult {
+            outcome,
+            report: LoadReport::default(),
+            served: None,
+            is_body_spent: false,
+            service_time: None,
+        }
     }
 }
 
@@ -56,87 +62,97 @@
     pub async fn attempt(
         self: &Rc<Self>,
         endpoint: EndpointId,
-        order: &Rc<UpstreamRequest>,
+        request: &Rc<UpstreamRequest>,
         until: Option<Instant>,
     ) -> AttemptResult {
-        let Some(place) = self.serving(endpoint).filter(|_| !order.is_spent()) else {
-            return AttemptResult { spent: order.is_spent(), ..AttemptResult::bare(Outcome::NeverSent) };
+        let Some(location) = self.serving_location(endpoint).filter(|_| !request.is_body_spent()) else {
+            return AttemptResult {
+                is_body_spent: request.is_body_spent(),
+                ..AttemptResult::without_response(Outcome::NeverSent)
+            };
         };
-        if order.remaining_ms(until) == 0 {
-            return AttemptResult::bare(Outcome::NeverSent);
+        if request.remaining_ms(until) == 0 {
+            return AttemptResult::without_response(Outcome::NeverSent);
         }
-        let latest = until.into_iter().chain(order.deadline()).min();
-        let mut conn = match self.connection(endpoint, place, latest, order.max_idle.get()).await {
+        let latest = until.into_iter().chain(request.deadline()).min();
+        let mut conn = match self
+            .acquire_connection(endpoint, location, latest, request.suspect_idle_time.get())
+            .await
+        {
             Ok(conn) => conn,
-            Err(outcome) => return AttemptResult::bare(outcome),
+            Err(outcome) => return AttemptResult::without_response(outcome),
         };
         let (connected, idle_for) = (Instant::now(), conn.idle_for);
-        let remaining_ms = order.remaining_ms(until);
+        let remaining_ms = request.remaining_ms(until);
         // Guards against a drain or restart that came to be known while the dial was under way, and against
         // an attempt that the dial has left less than a millisecond.
-        if self.serving(endpoint) != Some(place) || remaining_ms == 0 {
-            return AttemptResult::bare(Outcome::NeverSent);
+        if self.serving_location(endpoint) != Some(location) || remaining_ms == 0 {
+            return AttemptResult::without_response(Outcome::NeverSent);
         }
-        let watched = Rc::clone(&conn.watched);
+        let stream = Rc::clone(&conn.stream);
         // Guards against an attempt for a client that left, or whose time ended, at any moment before the
         // first byte is written: during the dial, or while the connection's task waits for its turn.
-        let wanted = Rc::clone(order);
-        watched.begin(&self.fully_written, Box::new(move || wanted.may_begin()));
-        watched.reset_first_byte();
-        let up = async {
+        let pending = Rc::clone(request);
+        stream.begin_request(&self.fully_written, Box::new(move || pending.may_begin()));
+        stream.reset_first_byte();
+        let deadline = async {
             match until {
-                Some(until) => tokio::select! { _ = order.time_up() => {}, _ = sleep_until(until) => {} },
-                None => order.time_up().await,
+                Some(until) => {
+                    tokio::select! { _ = request.deadline_passed() => {}, _ = sleep_until(until) => {} }
+                }
+                None => request.deadline_passed().await,
             }
         };
         let exchanged = tokio::select! {
             biased;
-            exchanged = self.exchange(&mut conn, order, remaining_ms) => Some(exchanged),
-            _ = up => None,
+            exchanged = self.exchange(&mut conn, request, remaining_ms) => Some(exchanged),
+            _ = deadline => None,
             // Guards against an endpoint that takes none of a body whose client has no deadline yet.
-            _ = watched.wait_for_write_stall(STALL_TIMEOUT), if order.long().is_some() => None,
+            _ = stream.wait_for_write_stall(STALL_TIMEOUT), if request.streamed_body().is_some() => None,
         };
-        let never = watched.is_partially_written();
-        let mut end = match exchanged {
+        let never_sent = stream.is_partially_written();
+        let mut result = match exchanged {
             // An answer in the middle of the request: the rest of it is not sent, and it never ran if so it
             // says.
-            Some(Ok((response, got))) => {
-                let end = match (classify_response(&response), got) {
-                    (Outcome::Served, ReadBody::Whole(body, hold)) => {
-                        self.keep(endpoint, place, conn);
-                        served(&response, UpstreamBody::Whole(body), hold)
+            Some(Ok((response, body))) => {
+                let result = match (classify_response(&response), body) {
+                    (Outcome::Served, ReadBody::Complete(body, permit)) => {
+                        self.return_connection(endpoint, location, conn);
+                        served_result(&response, UpstreamBody::Buffered(body), permit)
                     }
-                    (Outcome::Served, ReadBody::First(first, body, hold)) => {
-                        let home = ConnectionOrigin { conn, endpoints: Rc::clone(self), endpoint, place };
-                        let rest = Streamed::new(first, body, Some(home));
-                        served(&response, UpstreamBody::Streamed(Box::new(rest)), hold)
+                    (Outcome::Served, ReadBody::Partial(prefix, body, permit)) => {
+                        let origin = ConnectionOrigin { conn, pool: Rc::clone(self), endpoint, location };
+                        let streamed = StreamedResponseBody::new(prefix, body, Some(origin));
+                        served_result(&response, UpstreamBody::Streamed(Box::new(streamed)), permit)
                     }
-                    (outcome, ReadBody::Whole(..)) => {
-                        self.keep(endpoint, place, conn);
-                        AttemptResult::bare(outcome)
+                    (outcome, ReadBody::Complete(..)) => {
+                        self.return_connection(endpoint, location, conn);
+                        AttemptResult::without_response(outcome)
                     }
-                    (outcome, ReadBody::First(..)) => AttemptResult::bare(outcome),
+                    (outcome, ReadBody::Partial(..)) => AttemptResult::without_response(outcome),
                 };
                 let report = response.headers().get(&X_PRESSURE).and_then(|value| value.to_str().ok());
-                AttemptResult { report: report.map(parse_load_report).unwrap_or_default(), ..end }
+                AttemptResult { report: report.map(parse_load_report).unwrap_or_default(), ..result }
             }
-            _ if watched.is_withheld() => AttemptResult::bare(Outcome::NeverSent),
+            _ if stream.is_withheld() => AttemptResult::without_response(Outcome::NeverSent),
             // The client's own doing says nothing of the endpoint.
-            Some(Err(error)) if error.is_user() => AttemptResult::bare(Outcome::NeverSent),
+            Some(Err(error)) if error.is_user() => AttemptResult::without_response(Outcome::NeverSent),
             // The last byte was not written, so no endpoint can have begun.
-            Some(Err(_)) | None if never => AttemptResult::bare(Outcome::ConnectFailed),
-            Some(Err(_)) => AttemptResult::bare(Outcome::Reset),
-            None => AttemptResult::bare(Outcome::TimedOut),
+            Some(Err(_)) | None if never_sent => AttemptResult::without_response(Outcome::ConnectFailed),
+            Some(Err(_)) => AttemptResult::without_response(Outcome::Reset),
+            None => AttemptResult::without_response(Outcome::TimedOut),
         };
-        let failed = matches!(end.outcome, Outcome::Reset | Outcome::TimedOut) && watched.heard().is_none();
+        let failed =
+            matches!(result.outcome, Outcome::Reset | Outcome::TimedOut) && stream.first_byte_at().is_none();
         if failed && idle_for >= SUSPECT_IDLE_TIME {
-            order.max_idle.set(Some(idle_for));
+            request.suspect_idle_time.set(Some(idle_for));
             self.close_idle_since_before(endpoint, connected);
         }
-        if order.long().is_some() {
-            (end.spent, end.took) = (order.is_spent(), watched.whole().map(|whole| whole.elapsed()));
+        if request.streamed_body().is_some() {
+            (result.is_body_spent, result.service_time) =
+                (request.is_body_spent(), stream.fully_written_at().map(|written_at| written_at.elapsed()));
         }
-        end
+        result
     }
 
     /// Writes the order and reads the answer, or what there is to begin with of one that is passed on as it
@@ -144,41 +160,51 @@
     pub(super) async fn exchange(
         &self,
         conn: &mut PooledConnection,
-        order: &Rc<UpstreamRequest>,
+        request: &Rc<UpstreamRequest>,
         remaining_ms: u64,
     ) -> Result<(Response<()>, ReadBody), hyper::Error> {
-        let mut request = Request::new(AttemptBody::new(Rc::clone(order), Rc::clone(&conn.watched)));
-        *request.method_mut() = order.method.clone();
-        *request.uri_mut() = order.uri.clone();
-        *request.headers_mut() = order.headers.clone();
-        request.headers_mut().insert(&X_REMAINING_MS, HeaderValue::from(remaining_ms));
-        let (head, mut body) = conn.sender.send_request(request).await?.into_parts();
+        let mut outgoing = Request::new(AttemptBody::new(Rc::clone(request), Rc::clone(&conn.stream)));
+        *outgoing.method_mut() = request.method.clone();
+        *outgoing.uri_mut() = request.uri.clone();
+        *outgoing.headers_mut() = request.headers.clone();
+        outgoing.headers_mut().insert(&X_REMAINING_MS, HeaderValue::from(remaining_ms));
+        let (head, mut body) = conn.sender.send_request(outgoing).await?.into_parts();
         let length = body.size_hint().exact().and_then(|length| usize::try_from(length).ok());
-        let short = length.filter(|length| *length <= MAX_BUFFERED_BODY);
-        let hold = match short {
-            Some(length) => self.room.short(length).await,
-            None => self.room.long().await,
+        let buffered_length = length.filter(|length| *length <= MAX_BUFFERED_BODY);
+        let permit = match buffered_length {
+            Some(length) => self.response_memory.reserve_buffered(length).await,
+            None => self.response_memory.reserve_streamed().await,
         };
-        let soon = Instant::now() + if length.is_some() { Duration::ZERO } else { LENGTH_PROBE_TIME };
-        let mut first = BytesMut::with_capacity(short.unwrap_or(0));
+        let probe_until = Instant::now() + if length.is_some() { Duration::ZERO } else { LENGTH_PROBE_TIME };
+        let mut prefix = BytesMut::with_capacity(buffered_length.unwrap_or(0));
         loop {
-            let enough = short.is_none() && !first.is_empty();
-            let next = if enough { timeout_at(soon, body.frame()).await } else { Ok(body.frame().await) };
+            let may_forward = buffered_length.is_none() && !prefix.is_empty();
+            let next = if may_forward {
+                timeout_at(probe_until, body.frame()).await
+            } else {
+                Ok(body.frame().await)
+            };
             match next {
                 Ok(Some(frame)) => {
                     if let Ok(data) = frame?.into_data() {
-                        first.extend_from_slice(&data);
+                        prefix.extend_from_slice(&data);
                     }
                 }
                 Ok(None) => {
-                    return Ok((Response::from_parts(head, ()), ReadBody::Whole(first.freeze(), hold)));
+                    return Ok((Response::from_parts(head, ()), ReadBody::Complete(prefix.freeze(), permit)));
                 }
                 Err(_) => {
-                    return Ok((Response::from_parts(head, ()), ReadBody::First(first.freeze(), body, hold)));
+                    return Ok((
+                        Response::from_parts(head, ()),
+                        ReadBody::Partial(prefix.freeze(), body, permit),
+                    ));
                 }
             }
-            if short.is_none() && first.len() > BUFFER_SIZE {
-                return Ok((Response::from_parts(head, ()), ReadBody::First(first.freeze(), body, hold)));
+            if buffered_length.is_none() && prefix.len() > BUFFER_SIZE {
+                return Ok((
+                    Response::from_parts(head, ()),
+                    ReadBody::Partial(prefix.freeze(), body, permit),
+                ));
             }
         }
     }
--- a/client-proxy/src/endpoint_pool/connection.rs
+++ b/client-proxy/src/endpoint_pool/connection.rs
@@ -21,7 +21,7 @@
 /// An open connection; closed when dropped.
 pub(super) struct PooledConnection {
     pub(super) sender: SendRequest<AttemptBody>,
-    pub(super) watched: Rc<MonitoredStream>,
+    pub(super) stream: Rc<MonitoredStream>,
     pub(super) task: AbortHandle,
     /// How long it had been idle when it was taken up; zero for a new one.
     pub(super) idle_for: Duration,
@@ -41,34 +41,34 @@
 impl EndpointPool {
     /// An idle connection that is sound, or a new one. Once one has failed the same request that had been
     /// idle for `max_idle`, another that has been idle for as long is taken only where none can be made.
-    pub(super) async fn connection(
+    pub(super) async fn acquire_connection(
         &self,
         endpoint: EndpointId,
-        place: EndpointLocation,
+        location: EndpointLocation,
         until: Option<Instant>,
-        max_idle: Option<Duration>,
+        suspect_idle_time: Option<Duration>,
     ) -> Result<PooledConnection, Outcome> {
-        if let Some(conn) = self.reuse(endpoint, max_idle).await {
+        if let Some(conn) = self.reuse(endpoint, suspect_idle_time).await {
             return Ok(conn);
         }
-        let dialled = self.dial(place, until).await;
+        let dialed = self.dial(location, until).await;
         let in_time = until.is_none_or(|until| Instant::now() < until);
-        if dialled.is_err() && max_idle.is_some() && in_time {
-            return self.reuse(endpoint, None).await.map_or(dialled, Ok);
+        if dialed.is_err() && suspect_idle_time.is_some() && in_time {
+            return self.reuse(endpoint, None).await.map_or(dialed, Ok);
         }
-        dialled
+        dialed
     }
 
     /// An idle connection that is sound and has not been idle for `max_idle`.
     pub(super) async fn reuse(
         &self,
         endpoint: EndpointId,
-        max_idle: Option<Duration>,
+        suspect_idle_time: Option<Duration>,
     ) -> Option<PooledConnection> {
-        let max_idle = max_idle.map_or(self.idle_most, |max_idle| max_idle.min(self.idle_most));
-        while let Some(mut idle) = self.pop(endpoint, max_idle) {
+        let max_idle = suspect_idle_time.map_or(self.max_idle, |suspect| suspect.min(self.max_idle));
+        while let Some(mut idle) = self.pop_idle(endpoint, max_idle) {
             // Nothing was written to it yet: taking another one is no repeat.
-            if idle.conn.watched.is_quiet() && idle.conn.sender.ready().await.is_ok() {
+            if idle.conn.stream.is_quiet() && idle.conn.sender.ready().await.is_ok() {
                 idle.conn.idle_for = idle.since.elapsed();
                 return Some(idle.conn);
             }
@@ -79,38 +79,38 @@
     /// A new connection.
     pub(super) async fn dial(
         &self,
-        place: EndpointLocation,
+        location: EndpointLocation,
         until: Option<Instant>,
     ) -> Result<PooledConnection, Outcome> {
         let slot = loop {
-            match self.sockets.place(Side::Upstream) {
+            match self.sockets.try_acquire(Side::Upstream) {
                 Some(slot) => break slot,
                 // The place comes free when the closed connection's task has ended.
                 None if self.evict_idle() => tokio::task::yield_now().await,
                 None => return Err(Outcome::NeverSent),
             }
         };
-        let most = Instant::now() + self.dial_most;
-        let most = until.map_or(most, |until| until.min(most));
-        let dialled = timeout_at(most, TcpStream::connect(place.address));
-        let stream = match dialled.await {
+        let latest = Instant::now() + self.dial_timeout;
+        let latest = until.map_or(latest, |until| until.min(latest));
+        let dialed = timeout_at(latest, TcpStream::connect(location.address));
+        let stream = match dialed.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(dial_outcome(&error)),
             Err(_) => return Err(Outcome::ConnectFailed),
         };
-        let watched = MonitoredStream::new(stream, slot);
-        let io = TokioIo::new(Io(Rc::clone(&watched)));
-        let made = Builder::new().max_buf_size(BUFFER_SIZE).handshake(io).await;
-        let (sender, connection) = made.map_err(|_| Outcome::ConnectFailed)?;
+        let stream = MonitoredStream::new(stream, slot);
+        let io = TokioIo::new(Io(Rc::clone(&stream)));
+        let handshake = Builder::new().max_buf_size(BUFFER_SIZE).handshake(io).await;
+        let (sender, connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
         // How the connection ends is seen by the attempt on it; an idle one has nobody to tell.
         let task = spawn_local(async move { drop(connection.await) }).abort_handle();
-        Ok(PooledConnection { sender, watched, task, idle_for: Duration::ZERO })
+        Ok(PooledConnection { sender, stream, task, idle_for: Duration::ZERO })
     }
 
     /// The one that became idle last, unless it has been for `max_idle`.
-    pub(super) fn pop(&self, endpoint: EndpointId, max_idle: Duration) -> Option<IdleConnection> {
-        let mut table = self.table.borrow_mut();
-        table.get_mut(&endpoint)?.idle.pop_if(|idle| idle.since.elapsed() < max_idle)
+    pub(super) fn pop_idle(&self, endpoint: EndpointId, max_idle: Duration) -> Option<IdleConnection> {
+        let mut endpoints = self.endpoints.borrow_mut();
+        endpoints.get_mut(&endpoint)?.idle.pop_if(|idle| idle.since.elapsed() < max_idle)
     }
 }
 
--- a/client-proxy/src/endpoint_pool/response.rs
+++ b/client-proxy/src/endpoint_pool/response.rs
@@ -16,7 +16,7 @@
 use super::connection::PooledConnection;
 use super::{AttemptResult, EndpointPool};
 use crate::memory_budget::MemoryPermit;
-use crate::request_body::next_piece;
+use crate::request_body::next_chunk;
 
 pub(super) static X_TURNED_AWAY: HeaderName = HeaderName::from_static("x-turned-away");
 
@@ -29,31 +29,31 @@
     /// What it is, if the endpoint said so.
     pub content_type: Option<HeaderValue>,
     /// For its body.
-    pub hold: Option<MemoryPermit>,
+    pub memory: Option<MemoryPermit>,
 }
 
 /// The body of an endpoint's answer.
 pub enum UpstreamBody {
     /// All of it.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// It goes on as it comes.
-    Streamed(Box<Streamed>),
+    Streamed(Box<StreamedResponseBody>),
 }
 
 /// An answer that is passed on as it comes.
-pub struct Streamed {
-    pub(super) first: Bytes,
+pub struct StreamedResponseBody {
+    pub(super) prefix: Bytes,
     pub(super) body: Incoming,
     /// Where its connection goes back to once it has come whole.
-    pub(super) home: Option<ConnectionOrigin>,
+    pub(super) origin: Option<ConnectionOrigin>,
 }
 
 /// Whose connection it is that an answer comes over.
 pub struct ConnectionOrigin {
     pub(super) conn: PooledConnection,
-    pub(super) endpoints: Rc<EndpointPool>,
+    pub(super) pool: Rc<EndpointPool>,
     pub(super) endpoint: EndpointId,
-    pub(super) place: EndpointLocation,
+    pub(super) location: EndpointLocation,
 }
 
 /// An answer that did not come whole.
@@ -67,34 +67,36 @@
     Stalled,
 }
 
-impl Streamed {
+impl StreamedResponseBody {
     /// What is still to come in `body`, after `first`.
-    pub fn new(first: Bytes, body: Incoming, home: Option<ConnectionOrigin>) -> Streamed {
-        Streamed { first, body, home }
+    pub fn new(prefix: Bytes, body: Incoming, origin: Option<ConnectionOrigin>) -> StreamedResponseBody {
+        StreamedResponseBody { prefix, body, origin }
     }
 
     /// Whether all of it has been given.
-    pub fn is_over(&self) -> bool {
-        self.first.is_empty() && self.body.is_end_stream()
+    pub fn is_end_stream(&self) -> bool {
+        self.prefix.is_empty() && self.body.is_end_stream()
     }
 
     /// What is still to come.
     pub fn size_hint(&self) -> SizeHint {
-        let rest = self.body.size_hint().exact();
-        rest.map_or_else(SizeHint::default, |rest| SizeHint::with_exact(rest + self.first.len() as u64))
+        let remaining = self.body.size_hint().exact();
+        remaining.map_or_else(SizeHint::default, |remaining| {
+            SizeHint::with_exact(remaining + self.prefix.len() as u64)
+        })
     }
 
     /// The next part of it.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, ResponseError>>> {
-        if !self.first.is_empty() {
-            return Poll::Ready(Some(Ok(next_piece(&mut self.first))));
+        if !self.prefix.is_empty() {
+            return Poll::Ready(Some(Ok(next_chunk(&mut self.prefix))));
         }
         loop {
             match ready!(Pin::new(&mut self.body).poll_frame(cx)) {
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if !data.is_empty() => {
                         if self.body.is_end_stream() {
-                            self.done();
+                            self.release_connection();
                         }
                         return Poll::Ready(Some(Ok(data)));
                     }
@@ -102,24 +104,24 @@
                 },
                 Some(Err(error)) => return Poll::Ready(Some(Err(error.into()))),
                 None => {
-                    self.done();
+                    self.release_connection();
                     return Poll::Ready(None);
                 }
             }
         }
     }
 
-    pub(super) fn done(&mut self) {
-        if let Some(ConnectionOrigin { conn, endpoints, endpoint, place }) = self.home.take() {
-            endpoints.keep(endpoint, place, conn);
+    pub(super) fn release_connection(&mut self) {
+        if let Some(ConnectionOrigin { conn, pool, endpoint, location }) = self.origin.take() {
+            pool.return_connection(endpoint, location, conn);
         }
     }
 }
 
 /// What was read of an answer.
 pub(super) enum ReadBody {
-    Whole(Bytes, Option<MemoryPermit>),
-    First(Bytes, Incoming, Option<MemoryPermit>),
+    Complete(Bytes, Option<MemoryPermit>),
+    Partial(Bytes, Incoming, Option<MemoryPermit>),
 }
 
 /// The outcome by what came back. Only a turned-away answer proves that nothing ran.
@@ -132,15 +134,15 @@
     }
 }
 
-pub(super) fn served(
+pub(super) fn served_result(
     response: &Response<()>,
     body: UpstreamBody,
-    hold: Option<MemoryPermit>,
+    memory: Option<MemoryPermit>,
 ) -> AttemptResult {
     let content_type = response.headers().get(CONTENT_TYPE).cloned();
     AttemptResult {
-        served: Some(Served { body, content_type, hold }),
-        ..AttemptResult::bare(Outcome::Served)
+        served: Some(Served { body, content_type, memory }),
+        ..AttemptResult::without_response(Outcome::Served)
     }
 }
 
--- a/client-proxy/src/endpoint_pool/tests.rs
+++ b/client-proxy/src/endpoint_pool/tests.rs
@@ -31,7 +31,7 @@
 
 fn body(end: &AttemptResult) -> &[u8] {
     match &end.served.as_ref().expect("an answer").body {
-        UpstreamBody::Whole(body) => body,
+        UpstreamBody::Buffered(body) => body,
         UpstreamBody::Streamed(_) => panic!("it is a short one"),
     }
 }
@@ -75,7 +75,7 @@
             answer(&mut second, "second");
         });
         let endpoints =
-            EndpointPool::new(Sockets::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
+            EndpointPool::new(SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
         let endpoint = EndpointId(0);
         endpoints.set_location(endpoint, EndpointLocation { address, since_ms: 0, serving: true });
         let order = Rc::new(UpstreamRequest::empty(Duration::from_secs(20)));
@@ -87,7 +87,7 @@
         }
         go.send(()).expect("the server waits");
         // From here on the runtime is not asked for news of any socket until the connection is taken up.
-        while endpoints.table.borrow()[&endpoint].idle[0].conn.watched.is_quiet() {
+        while endpoints.endpoints.borrow()[&endpoint].idle[0].conn.stream.is_quiet() {
             std::thread::yield_now();
         }
         let end = endpoints.attempt(endpoint, &order, None).await;
@@ -103,7 +103,7 @@
     let theirs = std::net::TcpStream::connect(listener.local_addr().expect("bound")).expect("a connection");
     let (ours, _) = listener.accept().expect("a connection");
     ours.set_nonblocking(true).expect("a socket");
-    let slot = Sockets::new(1024, 0).place(Side::Client).expect("a place");
+    let slot = SocketBudget::new(1024, 0).try_acquire(Side::Client).expect("a place");
     (MonitoredStream::new(TcpStream::from_std(ours).expect("registered"), slot), theirs)
 }
 
@@ -133,7 +133,7 @@
                 more
             });
             let endpoints =
-                EndpointPool::new(Sockets::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
+                EndpointPool::new(SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
             let endpoint = EndpointId(0);
             endpoints.set_location(endpoint, EndpointLocation { address, since_ms: 0, serving: true });
             let long = Duration::from_secs(20);
@@ -180,8 +180,8 @@
 fn an_attempt_that_cannot_be_begun_here_ends_at_once_as_never_sent() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let (free, full) = (Sockets::new(1024, 0), Sockets::new(0, 0));
-        let _all: Vec<_> = std::iter::from_fn(|| full.place(Side::Upstream)).collect();
+        let (free, full) = (SocketBudget::new(1024, 0), SocketBudget::new(0, 0));
+        let _all: Vec<_> = std::iter::from_fn(|| full.try_acquire(Side::Upstream)).collect();
         // A link-local address that does not say of which link cannot be dialled from anywhere.
         for (sockets, address) in [(free, "[fe80::1]:9"), (full, "127.0.0.1:9")] {
             let endpoints = EndpointPool::new(sockets, Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
--- a/client-proxy/src/fleet_config.rs
+++ b/client-proxy/src/fleet_config.rs
@@ -62,33 +62,33 @@
     }
 
     fn read(path: &str, text: &str) -> Result<FleetConfig, ConfigError> {
-        let parts: Result<FleetConfig, _> = toml::from_str(text);
-        let wrong = |key: &str, problem: &str| ConfigError::Part {
+        let config: Result<FleetConfig, _> = toml::from_str(text);
+        let invalid = |key: &str, problem: &str| ConfigError::FleetKey {
             path: path.to_owned(),
             key: key.to_owned(),
             problem: problem.to_owned(),
         };
-        let parts = parts.map_err(|error| {
+        let config = config.map_err(|error| {
             let before = error.span().map_or("", |span| &text[..span.start]);
-            wrong(&format!("line {}", before.matches('\n').count() + 1), error.message())
+            invalid(&format!("line {}", before.matches('\n').count() + 1), error.message())
         })?;
-        if let Some(Zones { own, regions }) = &parts.zones {
+        if let Some(Zones { own, regions }) = &config.zones {
             if regions.is_empty() {
-                return Err(wrong("zones.regions", "names no zone"));
+                return Err(invalid("zones.regions", "names no zone"));
             }
             if own.as_ref().is_some_and(|own| !regions.contains_key(own)) {
-                return Err(wrong("zones.own", "is not among zones.regions"));
+                return Err(invalid("zones.own", "is not among zones.regions"));
             }
         }
-        if let Some(Relays { near, authority, .. }) = &parts.discovery {
+        if let Some(Relays { near, authority, .. }) = &config.discovery {
             if near.is_empty() {
-                return Err(wrong("discovery.near", "names no relay"));
+                return Err(invalid("discovery.near", "names no relay"));
             }
             if authority.parse::<Authority>().is_err() {
-                return Err(wrong("discovery.authority", "is no authority"));
+                return Err(invalid("discovery.authority", "is no authority"));
             }
         }
-        Ok(parts)
+        Ok(config)
     }
 
     /// The relays to be asked; nothing where discovery itself is.
--- a/client-proxy/src/headers.rs
+++ b/client-proxy/src/headers.rs
@@ -6,8 +6,8 @@
 pub static X_REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
 
 /// Takes out what is between two neighbours on the way only, and what is said anew on each hop.
-pub fn strip_hop_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -15,8 +15,8 @@
         .filter_map(|name| name.trim().parse().ok())
         .collect();
     // Guards against a client that names what must go on in `Connection`.
-    let kept = ["x-txn", "idempotency-key", "host"];
-    for name in named.iter().filter(|name| !kept.contains(&name.as_str())) {
+    let end_to_end = ["x-txn", "idempotency-key", "host"];
+    for name in listed.iter().filter(|name| !end_to_end.contains(&name.as_str())) {
         headers.remove(name);
     }
     for name in [
--- a/client-proxy/src/memory_budget.rs
+++ b/client-proxy/src/memory_budget.rs
@@ -8,75 +8,78 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// What a body that goes on as it comes needs: the buffers of both connections, and a part between them.
-pub const LONG: usize = 48 * 1024;
+pub const STREAMED_BODY_BYTES: usize = 48 * 1024;
 /// Of the limit, for the bodies of one direction that are held whole, and for the long ones. The rest is for
 /// the program, its connections and what malloc leaves unused.
-const SHORT_PART: usize = 10;
-const LONG_PART: usize = 8;
+const BUFFERED_SHARE_DIVISOR: usize = 10;
+const STREAMED_SHARE_DIVISOR: usize = 8;
 /// However small the limit, there is room for this much.
-const MIN_SOCKETS: usize = 256 * 1024;
-const UNIT: usize = 1024;
+const MIN_POOL_BYTES: usize = 256 * 1024;
+const PERMIT_BYTES: usize = 1024;
 
 /// A hold on some of it; free again when dropped.
 pub type MemoryPermit = OwnedSemaphorePermit;
 
 /// Room for the bodies of one direction.
 pub struct MemoryBudget {
-    short: Pool,
-    long: Pool,
+    buffered: PermitPool,
+    streamed: PermitPool,
 }
 
 impl MemoryBudget {
     /// For one direction, of a process that may use `limit` bytes in all.
     pub fn new(limit: usize) -> MemoryBudget {
-        MemoryBudget { short: Pool::new(limit / SHORT_PART), long: Pool::new(limit / LONG_PART) }
+        MemoryBudget {
+            buffered: PermitPool::new(limit / BUFFERED_SHARE_DIVISOR),
+            streamed: PermitPool::new(limit / STREAMED_SHARE_DIVISOR),
+        }
     }
 
     /// Waits for room for so many bytes of bodies that are held whole.
-    pub async fn short(&self, bytes: usize) -> Option<MemoryPermit> {
-        self.short.take(bytes).await
+    pub async fn reserve_buffered(&self, bytes: usize) -> Option<MemoryPermit> {
+        self.buffered.acquire(bytes).await
     }
 
     /// Waits for room for a body that goes on as it comes.
-    pub async fn long(&self) -> Option<MemoryPermit> {
-        self.long.take(LONG).await
+    pub async fn reserve_streamed(&self) -> Option<MemoryPermit> {
+        self.streamed.acquire(STREAMED_BODY_BYTES).await
     }
 
     /// Keeps to the part that one of so many processes has; what is held beyond it goes as it becomes free.
-    pub fn share(&self, processes: usize) {
-        self.short.share(processes);
-        self.long.share(processes);
+    pub fn split_among(&self, processes: usize) {
+        self.buffered.split_among(processes);
+        self.streamed.split_among(processes);
     }
 }
 
-struct Pool {
-    units: Arc<Semaphore>,
-    whole: usize,
+struct PermitPool {
+    permits: Arc<Semaphore>,
+    total: usize,
     /// How many there are at present, held or not.
-    given: Cell<usize>,
+    current: Cell<usize>,
 }
 
-impl Pool {
-    fn new(bytes: usize) -> Pool {
-        let whole = bytes.max(MIN_SOCKETS).div_ceil(UNIT);
-        Pool { units: Arc::new(Semaphore::new(whole)), whole, given: Cell::new(whole) }
+impl PermitPool {
+    fn new(bytes: usize) -> PermitPool {
+        let total = bytes.max(MIN_POOL_BYTES).div_ceil(PERMIT_BYTES);
+        PermitPool { permits: Arc::new(Semaphore::new(total)), total, current: Cell::new(total) }
     }
 
-    async fn take(&self, bytes: usize) -> Option<MemoryPermit> {
+    async fn acquire(&self, bytes: usize) -> Option<MemoryPermit> {
         // More than there ever is would be waited for in vain.
-        let units = bytes.div_ceil(UNIT).min(MIN_SOCKETS / UNIT / 2) as u32;
+        let permits = bytes.div_ceil(PERMIT_BYTES).min(MIN_POOL_BYTES / PERMIT_BYTES / 2) as u32;
         // Closed never, so there is always an answer in the end.
-        Arc::clone(&self.units).acquire_many_owned(units).await.ok()
+        Arc::clone(&self.permits).acquire_many_owned(permits).await.ok()
     }
 
-    fn share(&self, processes: usize) {
-        let part = (self.whole / processes.max(1)).max(MIN_SOCKETS / UNIT / 2);
-        let given = self.given.get();
-        if part > given {
-            self.units.add_permits(part - given);
-            self.given.set(part);
+    fn split_among(&self, processes: usize) {
+        let target = (self.total / processes.max(1)).max(MIN_POOL_BYTES / PERMIT_BYTES / 2);
+        let current = self.current.get();
+        if target > current {
+            self.permits.add_permits(target - current);
+            self.current.set(target);
         } else {
-            self.given.set(given - self.units.forget_permits(given - part));
+            self.current.set(current - self.permits.forget_permits(current - target));
         }
     }
 }
--- a/client-proxy/src/monitored_stream.rs
+++ b/client-proxy/src/monitored_stream.rs
@@ -22,7 +22,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use self::read_ahead::ReadAhead;
-use self::stream_io::is_tried_again;
+use self::stream_io::is_transient;
 use crate::socket_budget::SocketPermit;
 
 /// How the other side has ended what it sends.
@@ -46,12 +46,12 @@
 pub struct MonitoredStream {
     stream: TcpStream,
     /// What was read ahead, for whoever reads next.
-    ahead: RefCell<ReadAhead>,
+    read_ahead_buffer: RefCell<ReadAhead>,
     /// When the system was last known to hold nothing that is unread: all that is read later was sent after
     /// this.
     last_empty: Cell<Instant>,
     /// The system has been asked and held nothing, so that the runtime would tell of all that comes.
-    is_runtime_informed: Cell<bool>,
+    is_readiness_armed: Cell<bool>,
     /// The reader found nothing when it last asked, and is woken as soon as something comes.
     is_reader_waiting: Cell<bool>,
     /// What was last given to the reader was not sent before this.
@@ -63,17 +63,17 @@
     /// A request was not begun, because it might not be any more.
     withheld: Cell<bool>,
     written: Cell<u64>,
-    unfinished: Cell<bool>,
+    has_partial_write: Cell<bool>,
     /// All of the request has been handed over to be written.
-    given: Cell<bool>,
+    body_handed_over: Cell<bool>,
     /// Where a request is counted once it is written whole; taken out then.
-    counts: Cell<Option<Rc<Cell<u64>>>>,
+    full_writes: Cell<Option<Rc<Cell<u64>>>>,
     /// When it was.
-    whole: Cell<Option<Instant>>,
+    fully_written_at: Cell<Option<Instant>>,
     /// When the first byte came since this was last forgotten.
-    heard: Cell<Option<Instant>>,
+    first_byte_at: Cell<Option<Instant>>,
     /// Since when the other side has taken none of what waits to be written.
-    stuck: Cell<Option<Instant>>,
+    write_stalled_since: Cell<Option<Instant>>,
     _slot: SocketPermit,
 }
 
@@ -82,28 +82,29 @@
     pub fn new(stream: TcpStream, slot: SocketPermit) -> Rc<MonitoredStream> {
         // Fails only where the connection is broken already, which the first use shows.
         let _ = stream.set_nodelay(true);
-        let (written, unfinished, given, counts) = Default::default();
-        let (whole, heard, stuck, ahead, hung_up) = Default::default();
+        let (written, has_partial_write, body_handed_over, full_writes) = Default::default();
+        let (fully_written_at, first_byte_at, write_stalled_since, read_ahead_buffer, hung_up) =
+            Default::default();
         let (may_begin, withheld) = Default::default();
-        let (is_runtime_informed, is_reader_waiting) = Default::default();
+        let (is_readiness_armed, is_reader_waiting) = Default::default();
         let now = Instant::now();
         Rc::new(MonitoredStream {
             stream,
-            ahead,
+            read_ahead_buffer,
             last_empty: Cell::new(now),
-            is_runtime_informed,
+            is_readiness_armed,
             is_reader_waiting,
             last_read_sent_after: Cell::new(now),
             hung_up,
             may_begin,
             withheld,
             written,
-            unfinished,
-            given,
-            counts,
-            whole,
-            heard,
-            stuck,
+            has_partial_write,
+            body_handed_over,
+            full_writes,
+            fully_written_at,
+            first_byte_at,
+            write_stalled_since,
             _slot: slot,
         })
     }
@@ -111,14 +112,14 @@
     /// Forgets what was written so far: a new request begins, to be counted in `whole` when all of it is
     /// written. Its first byte is written only if `may_begin` says so at that moment; otherwise the write
     /// fails.
-    pub fn begin(&self, whole: &Rc<Cell<u64>>, may_begin: MayBegin) {
+    pub fn begin_request(&self, full_writes: &Rc<Cell<u64>>, may_begin: MayBegin) {
         self.may_begin.replace(Some(may_begin));
         self.withheld.set(false);
-        self.counts.set(Some(Rc::clone(whole)));
-        self.given.set(false);
-        self.whole.set(None);
+        self.full_writes.set(Some(Rc::clone(full_writes)));
+        self.body_handed_over.set(false);
+        self.fully_written_at.set(None);
         self.written.set(0);
-        self.unfinished.set(false);
+        self.has_partial_write.set(false);
     }
 
     /// Whether what was to be begun was not, because it might not be any more.
@@ -136,13 +137,13 @@
     }
 
     /// All of what was begun has been handed over to be written.
-    pub fn mark_body_written(&self) {
-        self.given.set(true);
+    pub fn mark_body_handed_over(&self) {
+        self.body_handed_over.set(true);
     }
 
     /// Whether the last byte of what was begun is known not to have been written.
     pub fn is_partially_written(&self) -> bool {
-        !self.given.get() || self.written.get() == 0 || self.unfinished.get()
+        !self.body_handed_over.get() || self.written.get() == 0 || self.has_partial_write.get()
     }
 
     /// How many bytes were written since the beginning, or since [`MonitoredStream::begin`].
@@ -151,25 +152,25 @@
     }
 
     /// When the last byte of it was written.
-    pub fn whole(&self) -> Option<Instant> {
-        self.whole.get()
+    pub fn fully_written_at(&self) -> Option<Instant> {
+        self.fully_written_at.get()
     }
 
     /// When the first byte came since [`MonitoredStream::reset_first_byte`].
-    pub fn heard(&self) -> Option<Instant> {
-        self.heard.get()
+    pub fn first_byte_at(&self) -> Option<Instant> {
+        self.first_byte_at.get()
     }
 
     /// What comes from now on is something new.
     pub fn reset_first_byte(&self) {
-        self.heard.set(None);
+        self.first_byte_at.set(None);
     }
 
     /// What the system holds of it at this moment may have been sent at any time after `instant`, or
     /// `instant` itself.
-    pub fn has_waited_since(&self, instant: Instant) {
+    pub fn set_unread_since(&self, instant: Instant) {
         self.last_empty.set(instant);
-        self.is_runtime_informed.set(false);
+        self.is_readiness_armed.set(false);
     }
 
     /// The last byte that was given to the reader was not sent before this, as far as known. Later bytes are
@@ -192,54 +193,54 @@
     /// asked. A reader that has to wait is no sign of it: its task may only have used up its turn.
     fn is_known_empty(&self) -> bool {
         let ready = pin!(self.stream.ready(Interest::READABLE));
-        self.is_runtime_informed.get() && ready.poll(&mut Context::from_waker(Waker::noop())).is_pending()
+        self.is_readiness_armed.get() && ready.poll(&mut Context::from_waker(Waker::noop())).is_pending()
     }
 
     /// The reader was given something at `now` that was not sent before `sent_after`.
     fn note_read(&self, sent_after: Instant, now: Instant) {
         self.last_read_sent_after.set(sent_after);
-        if self.heard.get().is_none() {
-            self.heard.set(Some(now));
+        if self.first_byte_at.get().is_none() {
+            self.first_byte_at.set(Some(now));
         }
     }
 
     /// The system held nothing when it was asked at `asked`.
     fn found_empty(&self, asked: Instant) {
         self.last_empty.set(asked);
-        self.is_runtime_informed.set(true);
+        self.is_readiness_armed.set(true);
     }
 
     /// Ends what goes to the other side, then reads and drops what still comes, until that side closes too or
     /// for `long`. Guards against a close over what was not read, which takes back what the other side has
     /// not read yet.
-    pub async fn drain(&self, long: Duration) {
+    pub async fn drain(&self, limit: Duration) {
         // Guards against a client that waits on for the rest of an answer that has broken off. Fails only
         // where the other side has closed.
         let _ = SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write);
-        let mut dropped = vec![0; 8 * 1024];
+        let mut discarded = vec![0; 8 * 1024];
         let drained = async {
             while self.stream.readable().await.is_ok() {
-                match self.stream.try_read(&mut dropped) {
+                match self.stream.try_read(&mut discarded) {
                     Ok(0) => return,
-                    Err(error) if !is_tried_again(&error) => return,
+                    Err(error) if !is_transient(&error) => return,
                     _ => {}
                 }
             }
         };
-        let _ = timeout(long, drained).await;
+        let _ = timeout(limit, drained).await;
     }
 
     /// Gives back what was read of it but not used, to be read again before anything else. How much there is
     /// then.
     pub fn put_back(&self, unused: &[u8]) -> usize {
-        let mut ahead = self.ahead.borrow_mut();
-        ahead.put_back(unused, self.last_read_sent_after.get());
-        ahead.length
+        let mut buffer = self.read_ahead_buffer.borrow_mut();
+        buffer.put_back(unused, self.last_read_sent_after.get());
+        buffer.length
     }
 
     /// Whether nothing that was read of it waits to be used.
     pub fn is_read_ahead_empty(&self) -> bool {
-        self.ahead.borrow().length == 0
+        self.read_ahead_buffer.borrow().length == 0
     }
 
     /// Writes a few bytes at once, where there is room for them.
@@ -250,17 +251,17 @@
 
     /// How long the other side has taken nothing of what is to be written to it.
     pub fn write_stalled_for(&self) -> Duration {
-        self.stuck.get().map_or(Duration::ZERO, |since| since.elapsed())
+        self.write_stalled_since.get().map_or(Duration::ZERO, |since| since.elapsed())
     }
 
     /// Waits until the other side has taken nothing for `long` of what is to be written to it.
-    pub async fn wait_for_write_stall(&self, long: Duration) {
+    pub async fn wait_for_write_stall(&self, limit: Duration) {
         loop {
-            let waited = self.write_stalled_for();
-            if waited >= long {
+            let stalled_for = self.write_stalled_for();
+            if stalled_for >= limit {
                 return;
             }
-            sleep(long - waited).await;
+            sleep(limit - stalled_for).await;
         }
     }
 
@@ -269,7 +270,7 @@
     ///
     /// Guards against an end that nobody sees because unread bytes lie before it.
     pub fn read_ahead_for_end(&self) -> Option<HangUp> {
-        self.read_ahead(|piece| self.stream.try_read(piece))
+        self.read_ahead(|chunk| self.stream.try_read(chunk))
     }
 
     /// The same, asked of the system at this moment, also behind more than is read ahead.
@@ -277,8 +278,8 @@
     /// Prevents an end from going unnoticed that has come in since the runtime last asked for news of its
     /// sockets, which may be long ago where the process was held up.
     pub fn query_hang_up(&self) -> Option<HangUp> {
-        let hung_up = self.read_ahead(|piece| (&*SockRef::from(&self.stream)).read(piece));
-        let is_all_read = self.ahead.borrow().length < MAX_READ_AHEAD;
+        let hung_up = self.read_ahead(|chunk| (&*SockRef::from(&self.stream)).read(chunk));
+        let is_all_read = self.read_ahead_buffer.borrow().length < MAX_READ_AHEAD;
         if hung_up.is_some() || is_all_read {
             return hung_up;
         }
@@ -286,13 +287,13 @@
     }
 
     fn read_ahead(&self, read: impl Fn(&mut [u8]) -> io::Result<usize>) -> Option<HangUp> {
-        let mut ahead = self.ahead.borrow_mut();
+        let mut buffer = self.read_ahead_buffer.borrow_mut();
         let asked = Instant::now();
-        while self.hung_up.get().is_none() && ahead.length < MAX_READ_AHEAD {
-            let mut piece = [0; 1024];
-            match read(&mut piece) {
+        while self.hung_up.get().is_none() && buffer.length < MAX_READ_AHEAD {
+            let mut chunk = [0; 1024];
+            match read(&mut chunk) {
                 Ok(0) => self.hung_up.set(Some(HangUp::Closed)),
-                Ok(read) => ahead.push(&piece[..read], self.last_empty.get()),
+                Ok(read) => buffer.push(&chunk[..read], self.last_empty.get()),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.found_empty(asked);
                     break;
@@ -307,10 +308,10 @@
     /// Whether the system has received an end, also behind bytes that nobody has read. An interrupted call is
     /// made again; no other failure says anything of the connection.
     fn poll_read_closed(&self) -> bool {
-        let mut sought = [PollFd::new(&self.stream, PollFlags::RDHUP)];
-        let polled = retry_on_intr(|| poll(&mut sought, Some(&Timespec::default())));
+        let mut poll_fds = [PollFd::new(&self.stream, PollFlags::RDHUP)];
+        let polled = retry_on_intr(|| poll(&mut poll_fds, Some(&Timespec::default())));
         let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        polled.is_ok() && sought[0].revents().intersects(closed)
+        polled.is_ok() && poll_fds[0].revents().intersects(closed)
     }
 
     /// Whether the runtime was told of an end, also behind more than is read ahead.
@@ -321,12 +322,12 @@
     }
 
     /// Waits until the other side has ended what it sends.
-    pub async fn hung_up(&self) -> HangUp {
+    pub async fn wait_for_hang_up(&self) -> HangUp {
         loop {
             if let Some(hung_up) = self.read_ahead_for_end() {
                 return hung_up;
             }
-            if self.ahead.borrow().length < MAX_READ_AHEAD {
+            if self.read_ahead_buffer.borrow().length < MAX_READ_AHEAD {
                 // Fails only where the runtime ends.
                 let _ = self.stream.readable().await;
                 // The system held nothing before, and the runtime wakes us as soon as something comes.
--- a/client-proxy/src/monitored_stream/stream_io.rs
+++ b/client-proxy/src/monitored_stream/stream_io.rs
@@ -13,7 +13,7 @@
 
 /// Whether a call on a socket that failed says nothing of its connection: it would have had to wait, or was
 /// interrupted.
-pub(super) fn is_tried_again(error: &io::Error) -> bool {
+pub(super) fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
@@ -22,35 +22,35 @@
 
 impl AsyncRead for Io {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let watched = &self.0;
-        let (was_waiting, now) = (watched.is_reader_waiting.take(), Instant::now());
-        if let Some(sent_after) = watched.ahead.borrow_mut().take(buf) {
-            watched.note_read(sent_after, now);
+        let monitored = &self.0;
+        let (was_waiting, now) = (monitored.is_reader_waiting.take(), Instant::now());
+        if let Some(sent_after) = monitored.read_ahead_buffer.borrow_mut().take(buf) {
+            monitored.note_read(sent_after, now);
             return Poll::Ready(Ok(()));
         }
-        match watched.hung_up.get() {
+        match monitored.hung_up.get() {
             Some(HangUp::Closed) => return Poll::Ready(Ok(())),
             Some(HangUp::Reset) => return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
             None => {}
         }
         if was_waiting {
-            watched.last_empty.set(now);
+            monitored.last_empty.set(now);
         }
         loop {
-            let ready = watched.stream.poll_read_ready(cx);
-            if ready.is_pending() && watched.is_known_empty() {
-                watched.last_empty.set(now);
-                watched.is_reader_waiting.set(true);
+            let ready = monitored.stream.poll_read_ready(cx);
+            if ready.is_pending() && monitored.is_known_empty() {
+                monitored.last_empty.set(now);
+                monitored.is_reader_waiting.set(true);
             }
             ready!(ready)?;
-            match watched.stream.try_read(buf.initialize_unfilled()) {
+            match monitored.stream.try_read(buf.initialize_unfilled()) {
                 Ok(read) => {
-                    watched.note_read(watched.last_empty.get(), now);
+                    monitored.note_read(monitored.last_empty.get(), now);
                     buf.advance(read);
                     return Poll::Ready(Ok(()));
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => watched.found_empty(now),
-                Err(error) if is_tried_again(&error) => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => monitored.found_empty(now),
+                Err(error) if is_transient(&error) => {}
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
@@ -59,25 +59,25 @@
 
 impl AsyncWrite for Io {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let watched = &self.0;
+        let monitored = &self.0;
         // Until all of the buffer is with the system, the last byte is not written.
-        watched.unfinished.set(true);
+        monitored.has_partial_write.set(true);
         loop {
-            let ready = watched.stream.poll_write_ready(cx);
-            if ready.is_pending() && watched.stuck.get().is_none() {
-                watched.stuck.set(Some(Instant::now()));
+            let ready = monitored.stream.poll_write_ready(cx);
+            if ready.is_pending() && monitored.write_stalled_since.get().is_none() {
+                monitored.write_stalled_since.set(Some(Instant::now()));
             }
             ready!(ready)?;
-            watched.check_begin()?;
-            match watched.stream.try_write(buf) {
+            monitored.check_begin()?;
+            match monitored.stream.try_write(buf) {
                 Ok(written) => {
-                    watched.may_begin.take();
-                    watched.stuck.set(None);
-                    watched.written.set(watched.written.get() + written as u64);
-                    watched.unfinished.set(written < buf.len());
+                    monitored.may_begin.take();
+                    monitored.write_stalled_since.set(None);
+                    monitored.written.set(monitored.written.get() + written as u64);
+                    monitored.has_partial_write.set(written < buf.len());
                     return Poll::Ready(Ok(written));
                 }
-                Err(error) if is_tried_again(&error) => {}
+                Err(error) if is_transient(&error) => {}
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
@@ -86,10 +86,10 @@
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // Asked for when nothing waits to be written any more.
         if !self.0.is_partially_written()
-            && let Some(whole) = self.0.counts.take()
+            && let Some(full_writes) = self.0.full_writes.take()
         {
-            whole.set(whole.get() + 1);
-            self.0.whole.set(Some(Instant::now()));
+            full_writes.set(full_writes.get() + 1);
+            self.0.fully_written_at.set(Some(Instant::now()));
         }
         Poll::Ready(Ok(()))
     }
--- a/client-proxy/src/monitored_stream/tests.rs
+++ b/client-proxy/src/monitored_stream/tests.rs
@@ -10,13 +10,13 @@
 
 use super::read_ahead::MAX_SEGMENTS;
 use super::*;
-use crate::socket_budget::{Side, Sockets};
+use crate::socket_budget::{Side, SocketBudget};
 
 async fn joined() -> (Rc<MonitoredStream>, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let stream = TcpStream::connect(address).await.expect("accepted");
-    let slot = Sockets::new(1024, 0).place(Side::Upstream).expect("a place");
+    let slot = SocketBudget::new(1024, 0).try_acquire(Side::Upstream).expect("a place");
     (MonitoredStream::new(stream, slot), listener.accept().expect("a connection").0)
 }
 
@@ -35,11 +35,11 @@
         let mut io = Io(Rc::clone(&watched));
         io.write_all(b"whole").await.expect("written");
         assert!(watched.is_partially_written(), "more may be to come");
-        watched.mark_body_written();
+        watched.mark_body_handed_over();
         assert!(!watched.is_partially_written());
-        watched.begin(&Rc::default(), Box::new(|| true));
+        watched.begin_request(&Rc::default(), Box::new(|| true));
         assert!(watched.is_partially_written(), "a new request begins");
-        watched.mark_body_written();
+        watched.mark_body_handed_over();
         // More than all buffers hold, to one who does not read: it stays unfinished.
         let much = vec![0; 64 << 20];
         let unfinished = std::future::poll_fn(|cx| {
@@ -186,7 +186,7 @@
 fn what_wakes_the_watch_for_a_hang_up_was_sent_just_now() {
     run_paused(async {
         let (watched, mut other) = joined().await;
-        let mut hung_up = pin!(watched.hung_up());
+        let mut hung_up = pin!(watched.wait_for_hang_up());
         let mut sent = Vec::new();
         for _ in 0..3 {
             assert!(std::future::poll_fn(|cx| Poll::Ready(hung_up.as_mut().poll(cx).is_pending())).await);
@@ -259,7 +259,7 @@
             std::thread::yield_now();
         }
         let queued = Instant::now();
-        watched.has_waited_since(queued);
+        watched.set_unread_since(queued);
         advance(SECOND).await;
         watched.note_if_empty();
         assert_eq!(read(&watched).await.1, queued);
--- a/client-proxy/src/process_state.rs
+++ b/client-proxy/src/process_state.rs
@@ -23,8 +23,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-pub use self::put_back::PutBackTimes;
-use self::state_file::{Contents, FailedChange, Fingerprint, StateFile, StateFileError, Verdict};
+pub use self::put_back::EnabledTimes;
+use self::state_file::{CommitDecision, Contents, FailedChange, Fingerprint, StateFile, StateFileError};
 use crate::clock::{Clock, boot_id};
 use crate::names::Names;
 
@@ -47,17 +47,21 @@
     owner: Option<String>,
     /// Endpoints that operators have taken out.
     #[serde(default)]
-    pub out: BTreeSet<String>,
+    #[serde(rename = "out")]
+    pub disabled: BTreeSet<String>,
     /// Those that were put back and may still be cold: when, in Unix milliseconds. Earlier versions of the
     /// program read this; a stepped wall clock spoils it, so that it only tells one time from another here.
     #[serde(default)]
-    pub back: BTreeMap<String, f64>,
+    #[serde(rename = "back")]
+    pub enabled_unix_ms: BTreeMap<String, f64>,
     /// The same by the machine's monotonic clock.
     #[serde(default)]
-    pub back_monotonic: PutBackTimes,
+    #[serde(rename = "back_monotonic")]
+    pub enabled_at: EnabledTimes,
     /// The list as discovery last told it, in the form that the configuration has it in.
     #[serde(default)]
-    pub list: Option<Value>,
+    #[serde(rename = "list")]
+    pub endpoint_list: Option<Value>,
     /// The processes that use the file; some may have ended.
     #[serde(default)]
     processes: BTreeSet<u32>,
@@ -65,14 +69,14 @@
 
 impl State {
     /// Forgets those that were put back before `at` on the monotonic clock.
-    pub fn forget_put_back_before(&mut self, at: Millis) {
-        self.back_monotonic.forget_before(at);
-        self.back.retain(|name, _| self.back_monotonic.get(name).is_some());
+    pub fn forget_enabled_before(&mut self, at: Millis) {
+        self.enabled_at.forget_before(at);
+        self.enabled_unix_ms.retain(|name, _| self.enabled_at.get(name).is_some());
     }
 }
 
 /// The one permit to touch the file. It is held until what an operation found or wrote is taken in here.
-type Permit = OwnedMutexGuard<()>;
+type FilePermit = OwnedMutexGuard<()>;
 
 /// The file and what is known of it.
 pub struct ProcessState {
@@ -82,23 +86,23 @@
     state: RefCell<State>,
     clock: Clock,
     /// Of the file that was read last.
-    seen: Cell<Option<Fingerprint>>,
+    last_fingerprint: Cell<Option<Fingerprint>>,
     /// A change was made on top of what the other process may have written.
-    unfollowed: Cell<bool>,
+    has_unapplied_change: Cell<bool>,
     /// The read before this one failed; that is said once.
-    unreadable: Cell<bool>,
+    read_failed: Cell<bool>,
     /// The newest list that is to be written, and whether a task is at it.
-    next_list: RefCell<Option<Value>>,
-    writing_list: Cell<bool>,
+    pending_list: RefCell<Option<Value>>,
+    is_writing_list: Cell<bool>,
     /// The last list could not be written; that is said once.
-    list_unwritten: Cell<bool>,
+    list_write_failed: Cell<bool>,
 }
 
 impl ProcessState {
     /// The file of this client proxy in `dir`. Nothing is read yet.
     pub fn open(dir: Option<PathBuf>, name: &str, names: &Names) -> ProcessState {
-        let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-        let file = format!("{STATE_FILE_PREFIX}-{}.json", name.chars().map(plain).collect::<String>());
+        let sanitized = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+        let file = format!("{STATE_FILE_PREFIX}-{}.json", name.chars().map(sanitized).collect::<String>());
         let Names { classes, tenants, zones, kinds } = names;
         let owner = json!([name, classes, tenants, zones, kinds]).to_string();
         let clock = Clock::new();
@@ -109,12 +113,12 @@
             clock,
             permit: Arc::default(),
             state: RefCell::default(),
-            seen: Cell::default(),
-            unfollowed: Cell::default(),
-            unreadable: Cell::default(),
-            next_list: RefCell::default(),
-            writing_list: Cell::default(),
-            list_unwritten: Cell::default(),
+            last_fingerprint: Cell::default(),
+            has_unapplied_change: Cell::default(),
+            read_failed: Cell::default(),
+            pending_list: RefCell::default(),
+            is_writing_list: Cell::default(),
+            list_write_failed: Cell::default(),
         }
     }
 
@@ -139,31 +143,31 @@
 
     /// Reads the file again if it is another one than before; true if what it holds has changed since the
     /// last call.
-    pub async fn news(&self) -> bool {
+    pub async fn refresh(&self) -> bool {
         // One that could not be read is read the next time.
         let changed = self.read(false).await.unwrap_or(false);
-        self.unfollowed.take() || changed
+        self.has_unapplied_change.take() || changed
     }
 
-    async fn read(&self, insists: bool) -> Result<bool, StateFileError> {
+    async fn read(&self, must_read: bool) -> Result<bool, StateFileError> {
         let Some(file) = self.file.clone() else { return Ok(false) };
-        let seen = self.seen.get();
+        let last_fingerprint = self.last_fingerprint.get();
         let permit = Arc::clone(&self.permit).lock_owned().await;
         let known = self.state();
-        let found = on_thread(move |reply| {
-            let found = file.read_newer(seen, insists, &known);
-            let _ = reply.send((found, permit));
+        let read_result = on_thread(move |reply| {
+            let read_result = file.read_newer(last_fingerprint, must_read, &known);
+            let _ = reply.send((read_result, permit));
         });
-        let (found, _permit) = found.await?;
-        let newer = found.inspect_err(|error| {
+        let (read_result, _permit) = read_result.await?;
+        let newer = read_result.inspect_err(|error| {
             // A lock that is held is no trouble: the other process is at it.
-            if !matches!(error, StateFileError::Locked) && !self.unreadable.replace(true) {
+            if !matches!(error, StateFileError::Locked) && !self.read_failed.replace(true) {
                 eprintln!("client-proxy: the state file is not read: {error}");
             }
         })?;
-        self.unreadable.set(false);
-        let Some((seen, contents)) = newer else { return Ok(false) };
-        self.seen.set(seen);
+        self.read_failed.set(false);
+        let Some((last_fingerprint, contents)) = newer else { return Ok(false) };
+        self.last_fingerprint.set(last_fingerprint);
         Ok(match contents {
             Contents::State(state) => self.state.replace(state.clone()) != state,
             Contents::Missing => false,
@@ -177,33 +181,33 @@
     /// The list that is handed on, unless the one that was `known` before is newer.
     pub fn newer_list(&self, known: Option<Value>) -> Option<Value> {
         let index = |list: &Option<Value>| list.as_ref().and_then(|list| list.get("index")?.as_u64());
-        let left = self.state().list;
-        if index(&left) >= index(&known) { left.or(known) } else { known }
+        let stored = self.state().endpoint_list;
+        if index(&stored) >= index(&known) { stored.or(known) } else { known }
     }
 
     /// Leaves the list for the next process, without waiting for it. One that cannot be written is only
     /// missed if there is a next process, and the next answer of discovery tries again.
-    pub fn hand_on(self: &Rc<Self>, list: Value) {
-        self.next_list.replace(Some(list));
-        if !self.writing_list.replace(true) {
-            spawn_local(Rc::clone(self).write_lists());
+    pub fn publish_list(self: &Rc<Self>, list: Value) {
+        self.pending_list.replace(Some(list));
+        if !self.is_writing_list.replace(true) {
+            spawn_local(Rc::clone(self).write_pending_lists());
         }
     }
 
-    async fn write_lists(self: Rc<Self>) {
-        while let Some(list) = self.next_list.take() {
-            if self.state.borrow().list.as_ref() == Some(&list) {
+    async fn write_pending_lists(self: Rc<Self>) {
+        while let Some(list) = self.pending_list.take() {
+            if self.state.borrow().endpoint_list.as_ref() == Some(&list) {
                 continue;
             }
-            let written = self.change(move |state| state.list = Some(list)).await;
-            let failed_before = self.list_unwritten.replace(written.is_err());
+            let written = self.change(move |state| state.endpoint_list = Some(list)).await;
+            let failed_before = self.list_write_failed.replace(written.is_err());
             if let Err(error) = written
                 && !failed_before
             {
                 eprintln!("client-proxy: the list is not handed on: {error}");
             }
         }
-        self.writing_list.set(false);
+        self.is_writing_list.set(false);
     }
 
     /// Enters this process among those that use the file.
@@ -220,9 +224,9 @@
 
     /// How many processes use the file at present, this one included.
     pub fn processes(&self) -> usize {
-        let this = std::process::id();
+        let own_pid = std::process::id();
         let state = self.state.borrow();
-        1 + state.processes.iter().filter(|id| **id != this && is_running(**id)).count()
+        1 + state.processes.iter().filter(|id| **id != own_pid && is_running(**id)).count()
     }
 
     /// Changes what the file holds, on top of what the other process may have written meanwhile. What this
@@ -239,11 +243,11 @@
             change(&mut self.state.borrow_mut());
             return Ok(());
         };
-        let verdict = Arc::new(Verdict::default());
-        let mut outcome = std::pin::pin!(self.write(file, change, Arc::clone(&verdict)));
+        let decision = Arc::new(CommitDecision::default());
+        let mut outcome = std::pin::pin!(self.write(file, change, Arc::clone(&decision)));
         match timeout(CHANGE_TIMEOUT, &mut outcome).await {
             Ok(outcome) => outcome,
-            Err(_) if verdict.abandon() => Err(StateFileError::TimedOut),
+            Err(_) if decision.abandon() => Err(StateFileError::TimedOut),
             // It is durable, and the word of it is on its way.
             Err(_) => outcome.await,
         }
@@ -253,11 +257,11 @@
         &self,
         file: Arc<StateFile>,
         change: impl FnOnce(&mut State) + Send + 'static,
-        verdict: Arc<Verdict>,
+        decision: Arc<CommitDecision>,
     ) -> Result<(), StateFileError> {
         let permit = Arc::clone(&self.permit).lock_owned().await;
         let known = self.state();
-        let written = on_thread(move |reply| match file.change(known, change, &verdict) {
+        let written = on_thread(move |reply| match file.change(known, change, &decision) {
             Ok(state) => drop(reply.send(Ok((state, permit)))),
             Err(FailedChange { error, rollback }) => {
                 let _ = reply.send(Err(error));
@@ -268,10 +272,10 @@
                 drop(permit);
             }
         });
-        let (state, _permit): (State, Permit) = written.await??;
+        let (state, _permit): (State, FilePermit) = written.await??;
         // Guards against an operator's word to the other process that comes in with a change of this one,
         // such as the list: then the file holds no news, but what it says has not been followed.
-        self.unfollowed.set(true);
+        self.has_unapplied_change.set(true);
         self.state.replace(state);
         Ok(())
     }
@@ -281,14 +285,14 @@
 async fn on_thread<T: Send + 'static>(
     work: impl FnOnce(oneshot::Sender<T>) + Send + 'static,
 ) -> Result<T, StateFileError> {
-    let (reply, replied) = oneshot::channel();
-    let failed = |source| StateFileError::System { step: "starting a thread", source };
-    thread::Builder::new().name("state-file".to_owned()).spawn(move || work(reply)).map_err(failed)?;
-    replied.await.map_err(|_| failed(io::Error::other("it ended without a word")))
+    let (reply, reply_receiver) = oneshot::channel();
+    let error_from = |source| StateFileError::System { step: "starting a thread", source };
+    thread::Builder::new().name("state-file".to_owned()).spawn(move || work(reply)).map_err(error_from)?;
+    reply_receiver.await.map_err(|_| error_from(io::Error::other("it ended without a word")))
 }
 
-fn is_running(process: u32) -> bool {
-    Path::new("/proc").join(process.to_string()).exists()
+fn is_running(pid: u32) -> bool {
+    Path::new("/proc").join(pid.to_string()).exists()
 }
 
 #[cfg(test)]
--- a/client-proxy/src/process_state/put_back/tests.rs
+++ b/client-proxy/src/process_state/put_back/tests.rs
@@ -8,10 +8,10 @@
 }
 
 /// What a file says, read for the first time: with and without a time by the monotonic clock.
-fn read(boot_id: &str, at: Option<Millis>) -> PutBackTimes {
+fn read(boot_id: &str, at: Option<Millis>) -> EnabledTimes {
     let at = at.map(|at| ("s1".to_owned(), at)).into_iter().collect();
-    let mut times = PutBackTimes { boot_id: Some(boot_id.to_owned()), at };
-    times.settle(&unix(5.0), (&BTreeMap::new(), &PutBackTimes::default()), BOOT, NOW);
+    let mut times = EnabledTimes { boot_id: Some(boot_id.to_owned()), by_endpoint: at };
+    times.reconcile(&unix(5.0), (&BTreeMap::new(), &EnabledTimes::default()), BOOT, NOW);
     times
 }
 
@@ -23,8 +23,8 @@
     assert_eq!(read("another boot", Some(NOW - 5e3)).get("s1"), Some(NOW));
     assert_eq!(read("this boot", Some(NOW + 5e3)).get("s1"), Some(NOW), "ahead of this machine's clock");
     assert_eq!(read("this boot", None).get("s1"), Some(NOW), "of an earlier version");
-    let mut nowhere = PutBackTimes { boot_id: None, at: BTreeMap::from([("s1".to_owned(), 5.0)]) };
-    nowhere.settle(&unix(5.0), (&BTreeMap::new(), &PutBackTimes::default()), None, NOW);
+    let mut nowhere = EnabledTimes { boot_id: None, by_endpoint: BTreeMap::from([("s1".to_owned(), 5.0)]) };
+    nowhere.reconcile(&unix(5.0), (&BTreeMap::new(), &EnabledTimes::default()), None, NOW);
     assert_eq!(nowhere.get("s1"), Some(NOW), "no boot is known");
 }
 
@@ -33,14 +33,14 @@
 #[test]
 fn a_put_back_keeps_its_time_until_it_is_put_back_again() {
     let first = read("this boot", None);
-    let mut again = PutBackTimes::default();
-    again.settle(&unix(5.0), (&unix(5.0), &first), BOOT, NOW + 700.0);
+    let mut again = EnabledTimes::default();
+    again.reconcile(&unix(5.0), (&unix(5.0), &first), BOOT, NOW + 700.0);
     assert_eq!(again, first);
-    again.settle(&unix(6.0), (&unix(5.0), &first), BOOT, NOW + 900.0);
+    again.reconcile(&unix(6.0), (&unix(5.0), &first), BOOT, NOW + 900.0);
     assert_eq!(again.get("s1"), Some(NOW), "what the file says by the monotonic clock is believed first");
-    let mut anew = PutBackTimes::default();
-    anew.settle(&unix(6.0), (&unix(5.0), &first), BOOT, NOW + 900.0);
+    let mut anew = EnabledTimes::default();
+    anew.reconcile(&unix(6.0), (&unix(5.0), &first), BOOT, NOW + 900.0);
     assert_eq!(anew.get("s1"), Some(NOW + 900.0));
-    anew.settle(&BTreeMap::new(), (&unix(6.0), &first), BOOT, NOW + 900.0);
+    anew.reconcile(&BTreeMap::new(), (&unix(6.0), &first), BOOT, NOW + 900.0);
     assert_eq!(anew.get("s1"), None, "taken out again");
 }
--- a/client-proxy/src/process_state/state_file.rs
+++ b/client-proxy/src/process_state/state_file.rs
@@ -39,7 +39,7 @@
 }
 
 /// Names the step at which a call to the system failed.
-fn at(step: &'static str) -> impl Fn(io::Error) -> StateFileError {
+fn failed_at(step: &'static str) -> impl Fn(io::Error) -> StateFileError {
     move |source| StateFileError::System { step, source }
 }
 
@@ -57,29 +57,29 @@
 /// Decides once whether a change holds: between the thread that writes it and the caller that may stop
 /// waiting.
 #[derive(Default)]
-pub struct Verdict(AtomicU8);
+pub struct CommitDecision(AtomicU8);
 
-impl Verdict {
+impl CommitDecision {
     const OPEN: u8 = 0;
     const COMMITTED: u8 = 1;
     const ABANDONED: u8 = 2;
 
     /// The change is durable; false if the caller has been told otherwise already.
     fn commit(&self) -> bool {
-        self.decide(Verdict::COMMITTED)
+        self.decide(CommitDecision::COMMITTED)
     }
 
     /// Nobody waits for the change any more; false if it is durable already.
     pub fn abandon(&self) -> bool {
-        self.decide(Verdict::ABANDONED)
+        self.decide(CommitDecision::ABANDONED)
     }
 
-    fn decide(&self, verdict: u8) -> bool {
-        self.0.compare_exchange(Verdict::OPEN, verdict, Ordering::AcqRel, Ordering::Acquire).is_ok()
+    fn decide(&self, decision: u8) -> bool {
+        self.0.compare_exchange(CommitDecision::OPEN, decision, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
     fn is_abandoned(&self) -> bool {
-        self.0.load(Ordering::Acquire) == Verdict::ABANDONED
+        self.0.load(Ordering::Acquire) == CommitDecision::ABANDONED
     }
 }
 
@@ -125,7 +125,7 @@
             Err(error) => match error.kind() {
                 ErrorKind::NotFound | ErrorKind::NotADirectory => return Ok(Contents::Missing),
                 ErrorKind::IsADirectory => return Ok(Contents::Unusable(error.to_string())),
-                _ => return Err(at("reading it")(error)),
+                _ => return Err(failed_at("reading it")(error)),
             },
         };
         let mut state: State = match serde_json::from_slice(&bytes) {
@@ -138,8 +138,13 @@
             }
             Some(owner) if *owner != self.owner => Contents::Unusable(format!("it belongs to {owner}")),
             _ => {
-                let known = (&known.back, &known.back_monotonic);
-                state.back_monotonic.settle(&state.back, known, self.boot_id.as_deref(), self.clock.now());
+                let known = (&known.enabled_unix_ms, &known.enabled_at);
+                state.enabled_at.reconcile(
+                    &state.enabled_unix_ms,
+                    known,
+                    self.boot_id.as_deref(),
+                    self.clock.now(),
+                );
                 Contents::State(state)
             }
         })
@@ -152,20 +157,20 @@
     /// missed either.
     pub fn read_newer(
         &self,
-        seen: Option<Fingerprint>,
-        insists: bool,
+        last_fingerprint: Option<Fingerprint>,
+        must_read: bool,
         known: &State,
     ) -> Result<Option<(Option<Fingerprint>, Contents)>, StateFileError> {
-        if self.fingerprint()? == seen && !insists {
+        if self.fingerprint()? == last_fingerprint && !must_read {
             return Ok(None);
         }
         let lock = match File::open(self.lock_path()) {
-            Ok(lock) => wait_for(|| lock.try_lock_shared()).map(|()| Some(lock)),
+            Ok(lock) => acquire_lock(|| lock.try_lock_shared()).map(|()| Some(lock)),
             // Nobody has changed the file under a lock; or there is no locking, and a rename is whole all the
             // same.
             Err(_) => Ok(None),
         };
-        if matches!(lock, Err(StateFileError::Locked)) && !insists {
+        if matches!(lock, Err(StateFileError::Locked)) && !must_read {
             return Err(StateFileError::Locked);
         }
         // Before the contents: if the file is replaced in between, it is read once more.
@@ -179,13 +184,13 @@
         &self,
         known: State,
         change: impl FnOnce(&mut State),
-        verdict: &Verdict,
+        decision: &CommitDecision,
     ) -> Result<State, FailedChange> {
         let folder =
-            File::open(self.path.parent().unwrap_or(&self.path)).map_err(at("opening the folder"))?;
+            File::open(self.path.parent().unwrap_or(&self.path)).map_err(failed_at("opening the folder"))?;
         let lock = OpenOptions::new().create(true).append(true).open(self.lock_path());
-        let lock = lock.map_err(at("opening the lock"))?;
-        wait_for(|| lock.try_lock())?;
+        let lock = lock.map_err(failed_at("opening the lock"))?;
+        acquire_lock(|| lock.try_lock())?;
         let mut before = match self.read(&known)? {
             Contents::State(state) => state,
             Contents::Missing | Contents::Unusable(_) => known,
@@ -193,22 +198,22 @@
         (before.version, before.owner) = (VERSION, Some(self.owner.clone()));
         let mut after = before.clone();
         change(&mut after);
-        self.write_new(&after)?;
+        self.write_temporary(&after)?;
         // Guards against a change that comes into force after its caller has been told that it does not.
-        if verdict.is_abandoned() {
-            self.remove_new();
+        if decision.is_abandoned() {
+            self.remove_temporary();
             return Err(StateFileError::TimedOut.into());
         }
-        if let Err(error) = fs::rename(self.new_path(), &self.path) {
-            self.remove_new();
-            return Err(at("renaming it")(error).into());
+        if let Err(error) = fs::rename(self.temporary_path(), &self.path) {
+            self.remove_temporary();
+            return Err(failed_at("renaming it")(error).into());
         }
         // Prevents a change that was refused meanwhile from being in force until the folder is synced, which
         // may take for longer than this process lives.
         let synced =
-            if verdict.is_abandoned() { Err(StateFileError::TimedOut) } else { sync_folder(&folder) };
+            if decision.is_abandoned() { Err(StateFileError::TimedOut) } else { sync_folder(&folder) };
         let error = match synced {
-            Ok(()) if verdict.commit() => return Ok(after),
+            Ok(()) if decision.commit() => return Ok(after),
             Ok(()) => StateFileError::TimedOut,
             Err(error) => error,
         };
@@ -224,38 +229,42 @@
     }
 
     fn replace(&self, rollback: &Rollback) -> Result<(), StateFileError> {
-        self.write_new(&rollback.before)?;
-        fs::rename(self.new_path(), &self.path).map_err(at("renaming it"))?;
+        self.write_temporary(&rollback.before)?;
+        fs::rename(self.temporary_path(), &self.path).map_err(failed_at("renaming it"))?;
         sync_folder(&rollback.folder)
     }
 
     /// Writes the next file, durably, in place of one that a process left when it was killed.
-    fn write_new(&self, state: &State) -> Result<(), StateFileError> {
-        let written = File::create(self.new_path()).map_err(at("opening it")).and_then(|mut file| {
-            let bytes = serde_json::to_vec(state).map_err(|error| at("writing it")(error.into()))?;
-            file.write_all(&bytes).map_err(at("writing it"))?;
-            file.sync_all().map_err(at("syncing it"))
-        });
-        if written.is_err() {
-            self.remove_new();
+    fn write_temporary(&self, state: &State) -> Result<(), StateFileError> {
+        let result =
+            File::create(self.temporary_path()).map_err(failed_at("opening it")).and_then(|mut file| {
+                let bytes =
+                    serde_json::to_vec(state).map_err(|error| failed_at("writing it")(error.into()))?;
+                file.write_all(&bytes).map_err(failed_at("writing it"))?;
+                file.sync_all().map_err(failed_at("syncing it"))
+            });
+        if result.is_err() {
+            self.remove_temporary();
         }
-        written
+        result
     }
 
     /// Gives the space back. One that stays is overwritten by the next change.
-    fn remove_new(&self) {
-        let _ = fs::remove_file(self.new_path());
+    fn remove_temporary(&self) {
+        let _ = fs::remove_file(self.temporary_path());
     }
 
     fn fingerprint(&self) -> Result<Option<Fingerprint>, StateFileError> {
         match fs::metadata(&self.path) {
-            Ok(m) => Ok(Some((m.ino(), m.mtime(), m.mtime_nsec(), m.len()))),
+            Ok(metadata) => {
+                Ok(Some((metadata.ino(), metadata.mtime(), metadata.mtime_nsec(), metadata.len())))
+            }
             Err(error) if matches!(error.kind(), ErrorKind::NotFound | ErrorKind::NotADirectory) => Ok(None),
-            Err(error) => Err(at("looking at it")(error)),
+            Err(error) => Err(failed_at("looking at it")(error)),
         }
     }
 
-    fn new_path(&self) -> PathBuf {
+    fn temporary_path(&self) -> PathBuf {
         self.path.with_extension("new")
     }
 
@@ -266,15 +275,15 @@
 
 /// Waits for the other process to be done; the lock goes with the descriptor, also with that of a killed
 /// process.
-fn wait_for(try_lock: impl Fn() -> Result<(), TryLockError>) -> Result<(), StateFileError> {
-    let until = Instant::now() + LOCK_TIMEOUT;
+fn acquire_lock(try_lock: impl Fn() -> Result<(), TryLockError>) -> Result<(), StateFileError> {
+    let deadline = Instant::now() + LOCK_TIMEOUT;
     loop {
         match try_lock() {
             Ok(()) => return Ok(()),
             Err(TryLockError::Error(error)) if error.kind() != ErrorKind::Interrupted => {
-                return Err(at("locking it")(error));
+                return Err(failed_at("locking it")(error));
             }
-            Err(_) if Instant::now() >= until => return Err(StateFileError::Locked),
+            Err(_) if Instant::now() >= deadline => return Err(StateFileError::Locked),
             Err(_) => thread::sleep(LOCK_RETRY),
         }
     }
@@ -285,7 +294,7 @@
 fn sync_folder(folder: &File) -> Result<(), StateFileError> {
     match folder.sync_all() {
         Err(error) if !matches!(error.kind(), ErrorKind::InvalidInput | ErrorKind::Unsupported) => {
-            Err(at("syncing the folder")(error))
+            Err(failed_at("syncing the folder")(error))
         }
         _ => Ok(()),
     }
--- a/client-proxy/src/process_state/tests.rs
+++ b/client-proxy/src/process_state/tests.rs
@@ -34,7 +34,7 @@
 }
 
 async fn take_out(handover: &ProcessState, name: &'static str) -> Result<(), StateFileError> {
-    handover.change(move |state| assert!(state.out.insert(name.into()))).await
+    handover.change(move |state| assert!(state.disabled.insert(name.into()))).await
 }
 
 /// Guards against two processes that undo each other's changes.
@@ -43,15 +43,15 @@
     run(async {
         let dir = folder("both");
         let (old, new) = (found(&dir, "n/0", &names()).await, found(&dir, "n/0", &names()).await);
-        assert_eq!((old.news().await, new.news().await), (false, false));
+        assert_eq!((old.refresh().await, new.refresh().await), (false, false));
         take_out(&old, "s1").await.expect("written");
         take_out(&new, "s2").await.expect("written");
-        assert!(old.news().await && !old.news().await);
+        assert!(old.refresh().await && !old.refresh().await);
         assert_eq!(old.state(), new.state());
-        assert_eq!(old.state().out.len(), 2);
-        old.change(|state| assert!(state.out.remove("s2"))).await.expect("written");
-        assert!(new.news().await);
-        assert_eq!(new.state().out, BTreeSet::from(["s1".to_owned()]));
+        assert_eq!(old.state().disabled.len(), 2);
+        old.change(|state| assert!(state.disabled.remove("s2"))).await.expect("written");
+        assert!(new.refresh().await);
+        assert_eq!(new.state().disabled, BTreeSet::from(["s1".to_owned()]));
     });
 }
 
@@ -69,7 +69,7 @@
             assert_eq!(handover.state(), State::default(), "{spoilt}");
             take_out(&handover, "s3").await.expect("written");
             let next = found(&dir, "n0", &names()).await;
-            assert_eq!(next.state().out, BTreeSet::from(["s3".to_owned()]), "{spoilt}");
+            assert_eq!(next.state().disabled, BTreeSet::from(["s3".to_owned()]), "{spoilt}");
         }
         fs::remove_file(&path).expect("removed");
         fs::create_dir(&path).expect("no file at all");
@@ -84,7 +84,7 @@
     run(async {
         let handover = ProcessState::open(None, "n0", &names());
         take_out(&handover, "s1").await.expect("kept");
-        assert!(handover.state().out.contains("s1") && !handover.news().await);
+        assert!(handover.state().disabled.contains("s1") && !handover.refresh().await);
     });
 }
 
@@ -103,11 +103,11 @@
             assert_eq!(here.state(), State::default(), "{name}");
             take_out(&here, "s3").await.expect("written");
             let next = found(&dir, "n/0", &names()).await;
-            assert_eq!(next.state().out, BTreeSet::from(["s3".to_owned()]), "{name}");
+            assert_eq!(next.state().disabled, BTreeSet::from(["s3".to_owned()]), "{name}");
         }
         fs::write(dir.join(stored("n_0.json")), "{\"version\":1,\"out\":[\"s1\"]}").expect("written");
         let here = found(&dir, "n/0", &names()).await;
-        assert_eq!(here.state().out, BTreeSet::from(["s1".to_owned()]));
+        assert_eq!(here.state().disabled, BTreeSet::from(["s1".to_owned()]));
     });
 }
 
@@ -132,7 +132,7 @@
         };
         tokio::join!(change, other);
         assert_eq!(*order.borrow(), ["another task", "change"]);
-        assert_eq!(handover.state().out, BTreeSet::from(["s1".to_owned()]));
+        assert_eq!(handover.state().disabled, BTreeSet::from(["s1".to_owned()]));
         drop(lock);
         take_out(&handover, "s2").await.expect("written");
     });
@@ -152,7 +152,7 @@
         let start = spawn_local(async move { starting.read_at_start().await });
         yield_now().await;
         // Its read comes after the first one of the start.
-        assert!(!handover.news().await);
+        assert!(!handover.refresh().await);
         yield_now().await;
         assert!(!start.is_finished(), "it is not known what is there");
         assert!(take_out(&handover, "s1").await.is_err());
@@ -160,7 +160,7 @@
         fs::write(dir.join("good"), "{\"version\":1,\"out\":[\"s3\"]}").expect("written");
         fs::rename(dir.join("good"), &path).expect("it can be read again");
         start.await.expect("no panic");
-        assert_eq!(handover.state().out, BTreeSet::from(["s3".to_owned()]));
+        assert_eq!(handover.state().disabled, BTreeSet::from(["s3".to_owned()]));
     });
 }
 
@@ -176,11 +176,11 @@
         fs::write(&new, "{\"version\":1,\"out\":[\"s1\",\"s2\"],".to_owned() + &" ".repeat(9999))
             .expect("written");
         let next = found(&dir, "n0", &names()).await;
-        assert_eq!(next.state().out, BTreeSet::from(["s1".to_owned()]));
+        assert_eq!(next.state().disabled, BTreeSet::from(["s1".to_owned()]));
         take_out(&next, "s3").await.expect("written");
         assert!(!new.exists());
         let newer = found(&dir, "n0", &names()).await;
-        assert_eq!(newer.state().out, BTreeSet::from(["s1".to_owned(), "s3".to_owned()]));
+        assert_eq!(newer.state().disabled, BTreeSet::from(["s1".to_owned(), "s3".to_owned()]));
     });
 }
 
@@ -192,13 +192,13 @@
         let handover = found(&dir, "n0", &names()).await;
         take_out(&handover, "s1").await.expect("written");
         let file = handover.file.clone().expect("a folder");
-        let verdict = Verdict::default();
+        let verdict = CommitDecision::default();
         assert!(verdict.abandon() && !verdict.abandon());
-        let change = |state: &mut State| assert!(state.out.insert("s2".into()));
+        let change = |state: &mut State| assert!(state.disabled.insert("s2".into()));
         let failed = file.change(handover.state(), change, &verdict).expect_err("not in force");
         assert!(matches!(failed.error, StateFileError::TimedOut) && failed.rollback.is_none());
         assert!(!dir.join(stored("n0.new")).exists());
-        assert_eq!(found(&dir, "n0", &names()).await.state().out, BTreeSet::from(["s1".to_owned()]));
+        assert_eq!(found(&dir, "n0", &names()).await.state().disabled, BTreeSet::from(["s1".to_owned()]));
     });
 }
 
@@ -212,11 +212,11 @@
         let new = dir.join(stored("n0.new"));
         fs::create_dir(&new).expect("it cannot be opened for writing");
         assert!(take_out(&handover, "s2").await.is_err());
-        assert_eq!(handover.state().out, BTreeSet::from(["s1".to_owned()]));
+        assert_eq!(handover.state().disabled, BTreeSet::from(["s1".to_owned()]));
         fs::remove_dir(&new).expect("good again");
         take_out(&handover, "s3").await.expect("written");
         let wanted = BTreeSet::from(["s1".to_owned(), "s3".to_owned()]);
-        assert_eq!(found(&dir, "n0", &names()).await.state().out, wanted);
+        assert_eq!(found(&dir, "n0", &names()).await.state().disabled, wanted);
     });
 }
 
@@ -229,7 +229,7 @@
         let (old, new) = (found(&dir, "n0", &names()).await, found(&dir, "n0", &names()).await);
         take_out(&old, "s1").await.expect("written");
         new.register_process().await.expect("written");
-        assert_eq!(new.state().out, BTreeSet::from(["s1".to_owned()]));
-        assert!(new.news().await && !new.news().await);
+        assert_eq!(new.state().disabled, BTreeSet::from(["s1".to_owned()]));
+        assert!(new.refresh().await && !new.refresh().await);
     });
 }
--- a/client-proxy/src/request_body.rs
+++ b/client-proxy/src/request_body.rs
@@ -19,13 +19,13 @@
 /// body.
 pub const CHUNK_SIZE: usize = 16 * 1024;
 /// What a body has to make for each second that it is waited for, in bytes.
-const PACE: f64 = 64_000.0;
+const MIN_BYTES_PER_SECOND: f64 = 64_000.0;
 /// A client whose body stands still for so long has stopped, whatever its pace was: it is owed an end within
 /// 3 s.
 const MAX_STALL: Duration = Duration::from_millis(2_500);
 
 /// A request that finds no room for its body for so long is given up.
-const ROOM_WITHIN: Duration = Duration::from_millis(500);
+const MEMORY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a body did not come whole.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -45,20 +45,20 @@
 pub struct PacedBody {
     body: Incoming,
     grace: Duration,
-    got: u64,
+    received: u64,
     waited: Duration,
-    since: Option<Instant>,
-    alarm: Option<Pin<Box<Sleep>>>,
+    waiting_since: Option<Instant>,
+    timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl PacedBody {
     /// Allows for `grace` beyond the pace.
     pub fn new(body: Incoming, grace: Duration) -> PacedBody {
-        PacedBody { body, grace, got: 0, waited: Duration::ZERO, since: None, alarm: None }
+        PacedBody { body, grace, received: 0, waited: Duration::ZERO, waiting_since: None, timer: None }
     }
 
     /// Whether it is known to hold nothing more.
-    pub fn is_over(&self) -> bool {
+    pub fn is_end_stream(&self) -> bool {
         self.body.is_end_stream()
     }
 
@@ -72,14 +72,14 @@
         loop {
             let polled = Pin::new(&mut self.body).poll_frame(cx);
             if polled.is_ready()
-                && let Some(since) = self.since.take()
+                && let Some(waiting_since) = self.waiting_since.take()
             {
-                self.waited += since.elapsed();
+                self.waited += waiting_since.elapsed();
             }
             match polled {
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) if !data.is_empty() => {
-                        self.got += data.len() as u64;
+                        self.received += data.len() as u64;
                         return Poll::Ready(Some(Ok(data)));
                     }
                     _ => {}
@@ -87,16 +87,17 @@
                 Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(BodyError::Incomplete))),
                 Poll::Ready(None) => return Poll::Ready(None),
                 Poll::Pending => {
-                    let since = *self.since.get_or_insert_with(Instant::now);
-                    let allowed = self.grace + Duration::from_secs_f64(self.got as f64 / PACE);
+                    let waiting_since = *self.waiting_since.get_or_insert_with(Instant::now);
+                    let allowed =
+                        self.grace + Duration::from_secs_f64(self.received as f64 / MIN_BYTES_PER_SECOND);
                     // Guards against a client that has sent much at once and then stops: its pace allows it
                     // seconds.
-                    let until = since + allowed.saturating_sub(self.waited).min(MAX_STALL);
-                    let alarm = self.alarm.get_or_insert_with(|| Box::pin(sleep(Duration::ZERO)));
-                    if alarm.deadline() != until {
-                        alarm.as_mut().reset(until);
+                    let until = waiting_since + allowed.saturating_sub(self.waited).min(MAX_STALL);
+                    let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(Duration::ZERO)));
+                    if timer.deadline() != until {
+                        timer.as_mut().reset(until);
                     }
-                    ready!(alarm.as_mut().poll(cx));
+                    ready!(timer.as_mut().poll(cx));
                     return Poll::Ready(Some(Err(BodyError::Late)));
                 }
             }
@@ -107,69 +108,78 @@
     ///
     /// # Errors
     /// When it does not come, or there is no room for it.
-    pub async fn first(
+    pub async fn read_prefix(
         &mut self,
-        room: &MemoryBudget,
+        memory: &MemoryBudget,
     ) -> Result<(Bytes, Option<MemoryPermit>, bool), BodyError> {
         let length = self.body.size_hint().exact().and_then(|length| usize::try_from(length).ok());
         let known = length.unwrap_or(0).min(MAX_BUFFERED_BODY);
-        let mut hold = room_within(room.short(known)).await?;
-        let (mut first, mut held) = (BytesMut::with_capacity(known), known);
-        while !self.is_over() && first.len() <= MAX_BUFFERED_BODY {
+        let mut permit = reserve_with_timeout(memory.reserve_buffered(known)).await?;
+        let (mut prefix, mut reserved) = (BytesMut::with_capacity(known), known);
+        while !self.is_end_stream() && prefix.len() <= MAX_BUFFERED_BODY {
             match std::future::poll_fn(|cx| self.poll_data(cx)).await.transpose()? {
-                Some(data) => first.extend_from_slice(&data),
-                None => return Ok((first.freeze(), Some(hold), true)),
+                Some(data) => prefix.extend_from_slice(&data),
+                None => return Ok((prefix.freeze(), Some(permit), true)),
             }
-            if first.len() > held {
-                hold.merge(room_within(room.short(CHUNK_SIZE)).await?);
-                held += CHUNK_SIZE;
+            if prefix.len() > reserved {
+                permit.merge(reserve_with_timeout(memory.reserve_buffered(CHUNK_SIZE)).await?);
+                reserved += CHUNK_SIZE;
             }
         }
-        Ok((first.freeze(), Some(hold), self.is_over()))
+        Ok((prefix.freeze(), Some(permit), self.is_end_stream()))
     }
 }
 
 /// Guards against requests that wait for room which others hold that wait as well.
-async fn room_within(room: impl Future<Output = Option<MemoryPermit>>) -> Result<MemoryPermit, BodyError> {
-    timeout(ROOM_WITHIN, room).await.ok().flatten().ok_or(BodyError::NoMemory)
+async fn reserve_with_timeout(
+    memory: impl Future<Output = Option<MemoryPermit>>,
+) -> Result<MemoryPermit, BodyError> {
+    timeout(MEMORY_TIMEOUT, memory).await.ok().flatten().ok_or(BodyError::NoMemory)
 }
 
 /// How far a long body has come.
 #[derive(Clone, Copy, PartialEq)]
-enum Coming {
-    More,
+enum BodyProgress {
+    Receiving,
     /// Its last byte was read, and when.
-    Whole(Instant),
-    Not(BodyError),
+    Complete(Instant),
+    Failed(BodyError),
 }
 
 /// A body that goes on as it comes.
-pub struct Streaming {
+pub struct StreamedRequestBody {
     /// Kept for as long as the body can be sent again, with what it takes of the room.
-    first: RefCell<(Bytes, Option<MemoryPermit>)>,
+    prefix: RefCell<(Bytes, Option<MemoryPermit>)>,
     rest: RefCell<PacedBody>,
     length: Option<u64>,
-    coming: watch::Sender<Coming>,
+    progress: watch::Sender<BodyProgress>,
     /// Some of the rest has been taken, so no second attempt could send it.
-    spent: Cell<bool>,
-    _hold: MemoryPermit,
+    is_spent: Cell<bool>,
+    _permit: MemoryPermit,
 }
 
-impl Streaming {
+impl StreamedRequestBody {
     /// `first` has been read of it already; `length` is that of the whole, where it is known.
     pub fn new(
-        first: (Bytes, Option<MemoryPermit>),
+        prefix: (Bytes, Option<MemoryPermit>),
         rest: PacedBody,
         length: Option<u64>,
-        hold: MemoryPermit,
-    ) -> Streaming {
-        let (rest, coming) = (RefCell::new(rest), watch::Sender::new(Coming::More));
-        Streaming { first: RefCell::new(first), rest, length, coming, spent: Cell::new(false), _hold: hold }
+        permit: MemoryPermit,
+    ) -> StreamedRequestBody {
+        let (rest, progress) = (RefCell::new(rest), watch::Sender::new(BodyProgress::Receiving));
+        StreamedRequestBody {
+            prefix: RefCell::new(prefix),
+            rest,
+            length,
+            progress,
+            is_spent: Cell::new(false),
+            _permit: permit,
+        }
     }
 
     /// What was read before it went on; nothing once some of the rest has been taken.
-    pub fn first(&self) -> Bytes {
-        self.first.borrow().0.clone()
+    pub fn prefix(&self) -> Bytes {
+        self.prefix.borrow().0.clone()
     }
 
     /// The length of the whole, where it is known.
@@ -181,46 +191,46 @@
     pub fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let next = ready!(self.rest.borrow_mut().poll_data(cx));
         if next.is_some() {
-            self.spend();
+            self.discard_prefix();
         }
-        if let Some(Err(trouble)) = next {
-            self.coming.send_replace(Coming::Not(trouble));
+        if let Some(Err(error)) = next {
+            self.progress.send_replace(BodyProgress::Failed(error));
         }
         Poll::Ready(next)
     }
 
     /// Its last byte has been read.
-    pub fn came_whole(&self) {
+    pub fn mark_complete(&self) {
         // From here on there is nothing to read, so a second attempt would send a shorter one.
-        self.spend();
-        self.coming.send_replace(Coming::Whole(Instant::now()));
+        self.discard_prefix();
+        self.progress.send_replace(BodyProgress::Complete(Instant::now()));
     }
 
     /// Some of the rest is gone, so the first part is of no more use either.
-    fn spend(&self) {
-        self.spent.set(true);
-        self.first.take();
+    fn discard_prefix(&self) {
+        self.is_spent.set(true);
+        self.prefix.take();
     }
 
     /// Whether no attempt can send it any more.
     pub fn is_spent(&self) -> bool {
-        self.spent.get()
+        self.is_spent.get()
     }
 
     /// When its last byte was read, if it was.
-    pub fn came(&self) -> Option<Instant> {
-        match *self.coming.borrow() {
-            Coming::Whole(at) => Some(at),
+    pub fn completed_at(&self) -> Option<Instant> {
+        match *self.progress.borrow() {
+            BodyProgress::Complete(at) => Some(at),
             _ => None,
         }
     }
 
     /// Waits until it has come whole, or never will.
-    pub async fn settled(&self) -> Result<Instant, BodyError> {
-        let mut coming = self.coming.subscribe();
-        match coming.wait_for(|coming| *coming != Coming::More).await.as_deref() {
-            Ok(Coming::Whole(at)) => Ok(*at),
-            Ok(Coming::Not(trouble)) => Err(*trouble),
+    pub async fn wait_until_complete(&self) -> Result<Instant, BodyError> {
+        let mut progress = self.progress.subscribe();
+        match progress.wait_for(|progress| *progress != BodyProgress::Receiving).await.as_deref() {
+            Ok(BodyProgress::Complete(at)) => Ok(*at),
+            Ok(BodyProgress::Failed(error)) => Err(*error),
             // Its sender is here.
             _ => Err(BodyError::Incomplete),
         }
@@ -230,14 +240,14 @@
 /// The body of a request.
 pub enum Payload {
     /// All of it.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// The rest is still to come, or was not read yet.
-    Streaming(Box<Streaming>),
+    Streamed(Box<StreamedRequestBody>),
 }
 
 /// Takes the next piece off the front of what is left.
-pub fn next_piece(left: &mut Bytes) -> Bytes {
-    left.split_to(left.len().min(CHUNK_SIZE))
+pub fn next_chunk(remaining: &mut Bytes) -> Bytes {
+    remaining.split_to(remaining.len().min(CHUNK_SIZE))
 }
 
 #[cfg(test)]
--- a/client-proxy/src/request_body/tests.rs
+++ b/client-proxy/src/request_body/tests.rs
@@ -25,13 +25,13 @@
         let request = hyper::Request::new(http_body_util::Empty::<Bytes>::new());
         let body = sender.send_request(request).await.expect("a head").into_body();
         let (start, room) = (Instant::now(), MemoryBudget::new(0));
-        let all = [room.short(usize::MAX).await, room.short(usize::MAX).await];
+        let all = [room.reserve_buffered(usize::MAX).await, room.reserve_buffered(usize::MAX).await];
         let mut paced = PacedBody::new(body, Duration::from_secs(20));
         tokio::task::spawn_local(async move {
             sleep(NO_ROOM).await;
             drop(all);
         });
-        assert_eq!(paced.first(&room).await.expect("room").0, "abc");
+        assert_eq!(paced.read_prefix(&room).await.expect("room").0, "abc");
         assert!(start.elapsed() - paced.waited() >= NO_ROOM);
     });
 }
