--- a/client-proxy/src/request_end.rs
+++ b/client-proxy/src/request_end.rs
@@ -9,21 +9,21 @@
 use bytes::Bytes;
 use tokio::time::{Sleep, sleep, timeout};
 
-use crate::request_body::{BodyError, PacedBody, Streaming};
+use crate::request_body::{BodyError, PacedBody, StreamedRequestBody};
 
 /// The rest of a body that nobody asks for any more.
 pub enum Unread {
     /// Of a request that is not forwarded.
     PacedBody(PacedBody),
     /// Of one that was.
-    Streaming(Box<Streaming>),
+    Streamed(Box<StreamedRequestBody>),
 }
 
 impl Unread {
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         match self {
             Unread::PacedBody(rest) => rest.poll_data(cx),
-            Unread::Streaming(rest) => rest.poll_rest(cx),
+            Unread::Streamed(rest) => rest.poll_rest(cx),
         }
     }
 }
@@ -35,18 +35,18 @@
 pub struct RequestEnd {
     is_reached: Cell<bool>,
     /// Nobody reads a rest that is left from now on.
-    is_forgotten: Cell<bool>,
+    is_abandoned: Cell<bool>,
     unread: RefCell<Option<Unread>>,
     /// When the rest is given up. Only there once it is read.
-    limit: RefCell<Option<Pin<Box<Sleep>>>>,
-    reader: Cell<Option<Waker>>,
+    timer: RefCell<Option<Pin<Box<Sleep>>>>,
+    waker: Cell<Option<Waker>>,
 }
 
 impl RequestEnd {
     /// The last byte of the request has been read.
-    pub fn reach(&self) {
+    pub fn mark_reached(&self) {
         if !self.is_reached.replace(true) {
-            self.wake_reader();
+            self.wake();
         }
     }
 
@@ -61,71 +61,71 @@
     }
 
     /// Leaves the rest to [`RequestEnd::poll_drain`].
-    pub fn leave(&self, unread: Unread) {
-        if !self.is_forgotten.get() {
+    pub fn leave_unread(&self, unread: Unread) {
+        if !self.is_abandoned.get() {
             self.unread.replace(Some(unread));
-            self.wake_reader();
+            self.wake();
         }
     }
 
     /// Drops the rest, now or when it is left.
-    pub fn forget(&self) {
+    pub fn abandon(&self) {
         self.unread.take();
-        if !self.is_forgotten.replace(true) {
-            self.wake_reader();
+        if !self.is_abandoned.replace(true) {
+            self.wake();
         }
     }
 
     /// The same for the task that would read it, but for what has been read of it already: its end may be
     /// there.
-    pub fn settle(&self) {
-        let _ = self.poll_rest(&mut Context::from_waker(Waker::noop()));
-        self.reader.take();
-        self.forget();
+    pub fn finish_buffered(&self) {
+        let _ = self.poll_unread(&mut Context::from_waker(Waker::noop()));
+        self.waker.take();
+        self.abandon();
     }
 
     /// Waits for `most` at the longest until the rest is left, or its last byte has been read by who still
     /// has it. Whether the end is reached then.
-    pub async fn settled(&self, most: Duration) -> bool {
-        let settled = std::future::poll_fn(|cx| {
-            self.keep_reader(cx);
-            ready!(self.poll_rest(cx));
-            if self.is_reached() || self.is_forgotten.get() { Poll::Ready(()) } else { Poll::Pending }
+    pub async fn wait_until_reached(&self, timeout_after: Duration) -> bool {
+        let finished = std::future::poll_fn(|cx| {
+            self.store_waker(cx);
+            ready!(self.poll_unread(cx));
+            if self.is_reached() || self.is_abandoned.get() { Poll::Ready(()) } else { Poll::Pending }
         });
         // Past that time it counts as not read.
-        let _ = timeout(most, settled).await;
-        self.forget();
+        let _ = timeout(timeout_after, finished).await;
+        self.abandon();
         self.is_reached()
     }
 
     /// Reads the rest that is left to its end and drops it, for `most` at the longest.
-    pub fn poll_drain(&self, cx: &mut Context<'_>, most: Duration) -> Poll<()> {
-        self.keep_reader(cx);
-        if self.poll_rest(cx).is_pending() {
-            let mut limit = self.limit.borrow_mut();
-            ready!(limit.get_or_insert_with(|| Box::pin(sleep(most))).as_mut().poll(cx));
-            self.forget();
+    pub fn poll_drain(&self, cx: &mut Context<'_>, timeout_after: Duration) -> Poll<()> {
+        self.store_waker(cx);
+        if self.poll_unread(cx).is_pending() {
+            let mut timer = self.timer.borrow_mut();
+            ready!(timer.get_or_insert_with(|| Box::pin(sleep(timeout_after))).as_mut().poll(cx));
+            self.abandon();
         }
         Poll::Ready(())
     }
 
-    fn keep_reader(&self, cx: &Context<'_>) {
-        let reader = self.reader.take().filter(|reader| reader.will_wake(cx.waker()));
-        self.reader.set(Some(reader.unwrap_or_else(|| cx.waker().clone())));
+    fn store_waker(&self, cx: &Context<'_>) {
+        let waker = self.waker.take().filter(|waker| waker.will_wake(cx.waker()));
+        self.waker.set(Some(waker.unwrap_or_else(|| cx.waker().clone())));
     }
 
-    fn wake_reader(&self) {
-        self.reader.take().into_iter().for_each(Waker::wake);
+    fn wake(&self) {
+        self.waker.take().into_iter().for_each(Waker::wake);
     }
 
     /// Reads what there is of it.
-    fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<()> {
+    fn poll_unread(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut unread = self.unread.borrow_mut();
         while let Some(rest) = &mut *unread {
             match ready!(rest.poll_data(cx)) {
                 Some(Ok(_)) => continue,
-                Some(Err(_)) => self.is_forgotten.set(true),
-                None => self.reach(),
+                Some(Err(_)) => self.is_abandoned.set(true),
+                None => self.mark_reached(),
             }
             *unread = None;
         }
--- a/client-proxy/src/request_end/tests.rs
+++ b/client-proxy/src/request_end/tests.rs
@@ -5,7 +5,7 @@
 /// How long `end` was waited for, and whether it was reached.
 async fn waited(end: &RequestEnd) -> (Duration, bool) {
     let begun = Instant::now();
-    let is_reached = end.settled(Duration::from_secs(1)).await;
+    let is_reached = end.wait_until_reached(Duration::from_secs(1)).await;
     (begun.elapsed(), is_reached)
 }
 
@@ -22,8 +22,8 @@
             let later = async {
                 sleep(SOON).await;
                 match what {
-                    "reached" => end.reach(),
-                    "forgotten" => end.forget(),
+                    "reached" => end.mark_reached(),
+                    "forgotten" => end.abandon(),
                     _ => {}
                 }
             };
--- a/client-proxy/src/request_head.rs
+++ b/client-proxy/src/request_head.rs
@@ -60,15 +60,19 @@
 }
 
 pub(crate) fn read_remaining(headers: &HeaderMap) -> Result<Duration, BadRequest> {
-    let text = text(headers, &X_REMAINING_MS).ok_or(BadRequest::Missing("X-Remaining-Ms"))?;
+    let text = single_value(headers, &X_REMAINING_MS).ok_or(BadRequest::Missing("X-Remaining-Ms"))?;
     // Guards against a sign, which the parser would take.
     let digits = Some(text).filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
-    let ms: u64 = digits.and_then(|digits| digits.parse().ok()).ok_or(BadRequest::Remaining)?;
-    if ms == 0 || ms > MAX_REMAINING_MS { Err(BadRequest::Remaining) } else { Ok(Duration::from_millis(ms)) }
+    let timeout_ms: u64 = digits.and_then(|digits| digits.parse().ok()).ok_or(BadRequest::Remaining)?;
+    if timeout_ms == 0 || timeout_ms > MAX_REMAINING_MS {
+        Err(BadRequest::Remaining)
+    } else {
+        Ok(Duration::from_millis(timeout_ms))
+    }
 }
 
 /// What a header says that stands there once; nothing where two of them may say different things.
-fn text<'h>(headers: &'h HeaderMap, name: &HeaderName) -> Option<&'h str> {
+fn single_value<'h>(headers: &'h HeaderMap, name: &HeaderName) -> Option<&'h str> {
     let mut values = headers.get_all(name).iter();
     let only = values.next().filter(|_| values.next().is_none());
     only.and_then(|value| value.to_str().ok()).map(str::trim)
@@ -80,42 +84,44 @@
     method: &Method,
     path: &str,
     headers: &HeaderMap,
-    front: &ClientContext,
+    context: &ClientContext,
 ) -> Result<RequestMetadata, BadRequest> {
-    text(headers, &HOST).ok_or(BadRequest::Missing("Host"))?;
-    text(headers, &X_TXN).filter(|id| !id.is_empty()).ok_or(BadRequest::Missing("X-Txn"))?;
-    let lane = text(headers, &X_LANE).ok_or(BadRequest::Missing("X-Lane"))?;
-    let class = front.names.classes.iter().position(|name| name == lane).ok_or(BadRequest::Class)?;
+    single_value(headers, &HOST).ok_or(BadRequest::Missing("Host"))?;
+    single_value(headers, &X_TXN).filter(|id| !id.is_empty()).ok_or(BadRequest::Missing("X-Txn"))?;
+    let lane = single_value(headers, &X_LANE).ok_or(BadRequest::Missing("X-Lane"))?;
+    let class = context.names.classes.iter().position(|name| name == lane).ok_or(BadRequest::Class)?;
     if path.split('/').nth(1) != Some(lane) {
         return Err(BadRequest::Path);
     }
     let keyed = headers.contains_key(&IDEMPOTENCY_KEY);
     // Guards against a repeat of what its client does not hold safe to repeat.
-    let fits = match front.settings.classes[class].effect {
+    let is_allowed = match context.settings.classes[class].effect {
         Effect::Safe => *method == Method::GET,
         Effect::Keyed { .. } => {
-            let key = text(headers, &IDEMPOTENCY_KEY).filter(|key| !key.is_empty());
+            let key = single_value(headers, &IDEMPOTENCY_KEY).filter(|key| !key.is_empty());
             *method == Method::POST && key.is_some()
         }
         Effect::Unsafe => *method == Method::POST && !keyed,
     };
-    if !fits {
+    if !is_allowed {
         return Err(if keyed { BadRequest::Method } else { BadRequest::Missing("Idempotency-Key") });
     }
-    let tenant = match text(headers, &X_ORG) {
-        _ if front.names.tenants.is_empty() => 0,
+    let tenant = match single_value(headers, &X_ORG) {
+        _ if context.names.tenants.is_empty() => 0,
         None => return Err(BadRequest::Missing("X-Org")),
-        Some(org) => front.names.tenants.iter().position(|name| name == org).ok_or(BadRequest::Tenant)?,
+        Some(org) => context.names.tenants.iter().position(|name| name == org).ok_or(BadRequest::Tenant)?,
     };
-    let labels = text(headers, &X_LABELS).unwrap_or_default();
+    let labels = single_value(headers, &X_LABELS).unwrap_or_default();
     let mut labels = labels.split(',').filter_map(|label| label.split_once('='));
     Ok(RequestMetadata {
         class,
         tenant,
-        is_retry: text(headers, &X_RESENT) == Some("1"),
+        is_retry: single_value(headers, &X_RESENT) == Some("1"),
         is_write: labels.any(|(name, value)| name == "update" && matches!(value, "1" | "true")),
         // Microseconds there, milliseconds here.
-        size_hint: text(headers, &X_ESTIMATE).and_then(|us| us.parse::<f64>().ok()).map(|us| us / 1e3),
+        size_hint: single_value(headers, &X_ESTIMATE)
+            .and_then(|us| us.parse::<f64>().ok())
+            .map(|us| us / 1e3),
         key: read_key(headers),
     })
 }
--- a/client-proxy/src/shutdown/tests.rs
+++ b/client-proxy/src/shutdown/tests.rs
@@ -12,19 +12,19 @@
     runtime.expect("a runtime").block_on(async {
         for (longest, earliest_kill) in [(20, 720), (300, 1_000), (3_000, 3_700), (10_000, 3_700)] {
             let (shutdown, began) = (Shutdown::default(), Instant::now());
-            let proceeds = shutdown.proceed(Duration::from_millis(longest));
+            let proceeds = shutdown.run(Duration::from_millis(longest));
             assert!(timeout(Duration::from_millis(450), proceeds).await.is_err());
             assert!(
-                shutdown.leaving.is_cancelled() && !shutdown.closing.is_cancelled(),
+                shutdown.terminating.is_cancelled() && !shutdown.draining.is_cancelled(),
                 "clients still come"
             );
             let (shutdown, began) = (Shutdown::default(), began + Duration::from_millis(450));
-            let mut proceeds = std::pin::pin!(shutdown.proceed(Duration::from_millis(longest)));
+            let mut proceeds = std::pin::pin!(shutdown.run(Duration::from_millis(longest)));
             tokio::select! {
                 _ = &mut proceeds => unreachable!("the last call comes first"),
-                _ = shutdown.last_call.cancelled() => {}
+                _ = shutdown.kill_imminent.cancelled() => {}
             }
-            assert!(shutdown.closing.is_cancelled());
+            assert!(shutdown.draining.is_cancelled());
             let called = began.elapsed() + HELD_UP;
             assert!(called <= Duration::from_millis(earliest_kill), "{called:?} of {earliest_kill} ms");
             proceeds.await;
--- a/client-proxy/src/socket_budget.rs
+++ b/client-proxy/src/socket_budget.rs
@@ -24,27 +24,28 @@
 }
 
 /// How many sockets may be open, shared by clients and endpoints.
-pub struct Sockets {
+pub struct SocketBudget {
     limit: usize,
-    apart: usize,
-    most: Cell<usize>,
+    reserved: usize,
+    max_open: Cell<usize>,
     used: [Cell<usize>; 2],
-    freed: Notify,
+    slot_freed: Notify,
 }
 
-impl Sockets {
+impl SocketBudget {
     /// A budget below `limit` descriptors, of which `apart` are for other uses.
-    pub fn new(limit: usize, apart: usize) -> Rc<Sockets> {
-        let (apart, most) = (RESERVED_DESCRIPTORS + apart, Cell::new(0));
-        let sockets = Sockets { limit, apart, most, used: Default::default(), freed: Notify::new() };
-        sockets.share(1);
+    pub fn new(limit: usize, reserved: usize) -> Rc<SocketBudget> {
+        let (reserved, max_open) = (RESERVED_DESCRIPTORS + reserved, Cell::new(0));
+        let sockets =
+            SocketBudget { limit, reserved, max_open, used: Default::default(), slot_freed: Notify::new() };
+        sockets.split_among(1);
         Rc::new(sockets)
     }
 
     /// A place for one more connection, if there is one for that side.
-    pub fn place(self: &Rc<Self>, side: Side) -> Option<SocketPermit> {
+    pub fn try_acquire(self: &Rc<Self>, side: Side) -> Option<SocketPermit> {
         let used = &self.used[side as usize];
-        if self.is_full() || used.get() >= self.most.get() * MAX_SIDE_SHARE.0 / MAX_SIDE_SHARE.1 {
+        if self.is_full() || used.get() >= self.max_open.get() * MAX_SIDE_SHARE.0 / MAX_SIDE_SHARE.1 {
             return None;
         }
         used.set(used.get() + 1);
@@ -52,32 +53,32 @@
     }
 
     /// Keeps within the part of the limit that one of so many processes has.
-    pub fn share(&self, processes: usize) {
-        let part = (self.limit / processes.max(1)).saturating_sub(self.apart).max(MIN_SOCKETS);
-        if part > self.most.replace(part) {
-            self.freed.notify_one();
+    pub fn split_among(&self, processes: usize) {
+        let allowed = (self.limit / processes.max(1)).saturating_sub(self.reserved).max(MIN_SOCKETS);
+        if allowed > self.max_open.replace(allowed) {
+            self.slot_freed.notify_one();
         }
     }
 
     /// Whether more are open than the part of the limit allows.
-    pub fn is_over(&self) -> bool {
-        self.used[0].get() + self.used[1].get() > self.most.get()
+    pub fn is_exceeded(&self) -> bool {
+        self.used[0].get() + self.used[1].get() > self.max_open.get()
     }
 
     /// Whether there is no place for either side.
     pub fn is_full(&self) -> bool {
-        self.used[0].get() + self.used[1].get() >= self.most.get()
+        self.used[0].get() + self.used[1].get() >= self.max_open.get()
     }
 
     /// Waits until a place has become free.
-    pub async fn freed(&self) {
-        self.freed.notified().await;
+    pub async fn slot_freed(&self) {
+        self.slot_freed.notified().await;
     }
 }
 
 /// One place in the budget; free again when dropped.
 pub struct SocketPermit {
-    sockets: Rc<Sockets>,
+    sockets: Rc<SocketBudget>,
     side: Side,
 }
 
@@ -85,7 +86,7 @@
     fn drop(&mut self) {
         let used = &self.sockets.used[self.side as usize];
         used.set(used.get() - 1);
-        self.sockets.freed.notify_one();
+        self.sockets.slot_freed.notify_one();
     }
 }
 
--- a/client-proxy/src/socket_budget/tests.rs
+++ b/client-proxy/src/socket_budget/tests.rs
@@ -2,27 +2,27 @@
 
 #[test]
 fn each_side_of_the_budget_keeps_a_part() {
-    let sockets = Sockets::new(RESERVED_DESCRIPTORS + 9, 1);
-    let clients: Vec<SocketPermit> = std::iter::from_fn(|| sockets.place(Side::Client)).collect();
-    let endpoints: Vec<SocketPermit> = std::iter::from_fn(|| sockets.place(Side::Upstream)).collect();
+    let sockets = SocketBudget::new(RESERVED_DESCRIPTORS + 9, 1);
+    let clients: Vec<SocketPermit> = std::iter::from_fn(|| sockets.try_acquire(Side::Client)).collect();
+    let endpoints: Vec<SocketPermit> = std::iter::from_fn(|| sockets.try_acquire(Side::Upstream)).collect();
     assert_eq!((clients.len(), endpoints.len(), sockets.is_full()), (6, 2, true));
     drop(clients);
-    assert!(sockets.place(Side::Client).is_some() && !sockets.is_full());
+    assert!(sockets.try_acquire(Side::Client).is_some() && !sockets.is_full());
 }
 
 /// Guards against two processes that together go over the limit while one takes over from the other.
 #[test]
 fn two_processes_share_the_limit() {
-    let sockets = Sockets::new(2 * (RESERVED_DESCRIPTORS + 1 + 12), 1);
-    let held: Vec<SocketPermit> = (0..20).filter_map(|_| sockets.place(Side::Client)).collect();
+    let sockets = SocketBudget::new(2 * (RESERVED_DESCRIPTORS + 1 + 12), 1);
+    let held: Vec<SocketPermit> = (0..20).filter_map(|_| sockets.try_acquire(Side::Client)).collect();
     assert_eq!(held.len(), 20);
-    sockets.share(2);
-    assert!(sockets.is_over() && sockets.place(Side::Upstream).is_none());
+    sockets.split_among(2);
+    assert!(sockets.is_exceeded() && sockets.try_acquire(Side::Upstream).is_none());
     drop(held);
     let held: Vec<SocketPermit> = (0..40)
-        .filter_map(|n| sockets.place(if n % 2 == 0 { Side::Client } else { Side::Upstream }))
+        .filter_map(|n| sockets.try_acquire(if n % 2 == 0 { Side::Client } else { Side::Upstream }))
         .collect();
     assert_eq!(held.len(), 12);
-    sockets.share(1);
-    assert!(sockets.place(Side::Client).is_some());
+    sockets.split_among(1);
+    assert!(sockets.try_acquire(Side::Client).is_some());
 }
--- a/client-proxy/src/upstream_request.rs
+++ b/client-proxy/src/upstream_request.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::monitored_stream::{HangUp, MonitoredStream};
-use crate::request_body::{BodyError, CHUNK_SIZE, Payload, Streaming};
+use crate::request_body::{BodyError, CHUNK_SIZE, Payload, StreamedRequestBody};
 use crate::request_end::{RequestEnd, Unread};
 
 /// A client that is still there has some time left, at least 0. Passing so much more than is known to be left
@@ -36,9 +36,9 @@
 
 impl Drop for RequestBody {
     fn drop(&mut self) {
-        let payload = std::mem::replace(&mut self.payload, Payload::Whole(Bytes::new()));
-        if let Payload::Streaming(long) = payload {
-            self.end.leave(Unread::Streaming(long));
+        let payload = std::mem::replace(&mut self.payload, Payload::Buffered(Bytes::new()));
+        if let Payload::Streamed(body) = payload {
+            self.end.leave_unread(Unread::Streamed(body));
         }
     }
 }
@@ -54,48 +54,49 @@
     /// Unchanged from the client.
     pub body: RequestBody,
     /// When its head, or all of a body that was read whole, had come.
-    pub came: Instant,
+    pub received_at: Instant,
     /// It was not sent whole before this, as far as known; `came` or earlier. The rest of a body that still
     /// comes may have been with the system for as long.
     pub sent_after: Instant,
     /// How long the client waits from its last byte on.
-    pub patience: Duration,
+    pub client_timeout: Duration,
     /// The connection that it came over.
     pub client: Option<Rc<MonitoredStream>>,
     /// How long a connection had been idle over which an attempt of it brought nothing.
-    pub max_idle: Cell<Option<Duration>>,
+    pub suspect_idle_time: Cell<Option<Duration>>,
 }
 
 impl UpstreamRequest {
     /// One that says nothing, of a client that waits from now on.
     #[cfg(test)]
-    pub fn empty(patience: Duration) -> UpstreamRequest {
+    pub fn empty(client_timeout: Duration) -> UpstreamRequest {
         let (method, uri, headers) = Default::default();
         UpstreamRequest {
             method,
             uri,
             headers,
-            body: RequestBody::new(Payload::Whole(Bytes::new()), Rc::default()),
-            came: Instant::now(),
+            body: RequestBody::new(Payload::Buffered(Bytes::new()), Rc::default()),
+            received_at: Instant::now(),
             sent_after: Instant::now(),
-            patience,
+            client_timeout,
             client: None,
-            max_idle: Cell::default(),
+            suspect_idle_time: Cell::default(),
         }
     }
 
     /// The body, if it goes on as it comes.
-    pub fn long(&self) -> Option<&Streaming> {
+    pub fn streamed_body(&self) -> Option<&StreamedRequestBody> {
         match &self.body.payload {
-            Payload::Whole(_) => None,
-            Payload::Streaming(long) => Some(long),
+            Payload::Buffered(_) => None,
+            Payload::Streamed(body) => Some(body),
         }
     }
 
     /// When the client's time is up; not known while its body comes.
     pub fn deadline(&self) -> Option<Instant> {
-        let came = self.long().map_or(Some(self.came), Streaming::came);
-        came.map(|came| came + self.patience)
+        let completed_at =
+            self.streamed_body().map_or(Some(self.received_at), StreamedRequestBody::completed_at);
+        completed_at.map(|completed_at| completed_at + self.client_timeout)
     }
 
     /// The deadline that an attempt beginning now is passed, in whole milliseconds: what is left to the
@@ -103,17 +104,17 @@
     pub fn remaining_ms(&self, until: Option<Instant>) -> u64 {
         let now = Instant::now();
         let latest = until.into_iter().chain(self.deadline()).min();
-        let left = latest.map_or(self.patience, |latest| latest.saturating_duration_since(now));
+        let remaining = latest.map_or(self.client_timeout, |latest| latest.saturating_duration_since(now));
         // Prevents a deadline that leaves out how long the request lay unread: before its connection was
         // taken in, or behind the answer to the one before.
-        let sure = (self.sent_after + self.patience).saturating_duration_since(now);
-        left.min(sure.max(DEADLINE_SLACK)).as_millis() as u64
+        let certain = (self.sent_after + self.client_timeout).saturating_duration_since(now);
+        remaining.min(certain.max(DEADLINE_SLACK)).as_millis() as u64
     }
 
     /// Waits until the client's time is up. Never, if its body does not come whole.
-    pub async fn time_up(&self) {
-        if let Some(long) = self.long()
-            && long.settled().await.is_err()
+    pub async fn deadline_passed(&self) {
+        if let Some(body) = self.streamed_body()
+            && body.wait_until_complete().await.is_err()
         {
             return std::future::pending().await;
         }
@@ -135,47 +136,47 @@
     }
 
     /// Waits until the client has closed its side, with all of its request sent.
-    pub async fn abandoned(&self) -> HangUp {
-        if let Some(long) = self.long()
-            && long.settled().await.is_err()
+    pub async fn client_hung_up(&self) -> HangUp {
+        if let Some(body) = self.streamed_body()
+            && body.wait_until_complete().await.is_err()
         {
             return std::future::pending().await;
         }
         match &self.client {
-            Some(client) => client.hung_up().await,
+            Some(client) => client.wait_for_hang_up().await,
             None => std::future::pending().await,
         }
     }
 
     /// Whether its body cannot be sent again.
-    pub fn is_spent(&self) -> bool {
-        self.long().is_some_and(Streaming::is_spent)
+    pub fn is_body_spent(&self) -> bool {
+        self.streamed_body().is_some_and(StreamedRequestBody::is_spent)
     }
 }
 
 /// The body of one attempt.
 pub struct AttemptBody {
-    order: Rc<UpstreamRequest>,
-    given: u64,
-    watched: Rc<MonitoredStream>,
+    request: Rc<UpstreamRequest>,
+    yielded: u64,
+    stream: Rc<MonitoredStream>,
 }
 
 impl AttemptBody {
     /// Tells `watched` when all of the body has been handed to the writer.
-    pub fn new(order: Rc<UpstreamRequest>, watched: Rc<MonitoredStream>) -> AttemptBody {
-        let outgoing = AttemptBody { order, given: 0, watched };
-        if outgoing.is_end_stream() {
-            outgoing.watched.mark_body_written();
+    pub fn new(request: Rc<UpstreamRequest>, stream: Rc<MonitoredStream>) -> AttemptBody {
+        let attempt_body = AttemptBody { request, yielded: 0, stream };
+        if attempt_body.is_end_stream() {
+            attempt_body.stream.mark_body_handed_over();
         }
-        outgoing
+        attempt_body
     }
 
     /// The next piece of what is held in memory.
-    fn piece(&mut self, held: &Bytes) -> Option<Bytes> {
-        let from = usize::try_from(self.given).ok().filter(|from| *from < held.len())?;
-        let piece = held.slice(from..held.len().min(from + CHUNK_SIZE));
-        self.given += piece.len() as u64;
-        Some(piece)
+    fn next_buffered_chunk(&mut self, buffered: &Bytes) -> Option<Bytes> {
+        let from = usize::try_from(self.yielded).ok().filter(|from| *from < buffered.len())?;
+        let chunk = buffered.slice(from..buffered.len().min(from + CHUNK_SIZE));
+        self.yielded += chunk.len() as u64;
+        Some(chunk)
     }
 }
 
@@ -187,28 +188,28 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let order = Rc::clone(&self.order);
-        let held = match &order.body.payload {
-            Payload::Whole(body) => body.clone(),
-            Payload::Streaming(long) => long.first(),
+        let request = Rc::clone(&self.request);
+        let buffered = match &request.body.payload {
+            Payload::Buffered(body) => body.clone(),
+            Payload::Streamed(body) => body.prefix(),
         };
-        let mut piece = self.piece(&held);
-        if piece.is_none()
-            && let Some(long) = order.long()
+        let mut chunk = self.next_buffered_chunk(&buffered);
+        if chunk.is_none()
+            && let Some(body) = request.streamed_body()
             && let Some(data) =
-                ready!(long.poll_rest(cx)).transpose().inspect_err(|_| order.body.end.forget())?
+                ready!(body.poll_rest(cx)).transpose().inspect_err(|_| request.body.end.abandon())?
         {
-            self.given += data.len() as u64;
-            piece = Some(data);
+            self.yielded += data.len() as u64;
+            chunk = Some(data);
         }
-        if piece.is_none() || self.is_end_stream() {
-            if let Some(long) = order.long() {
-                long.came_whole();
-                order.body.end.reach();
+        if chunk.is_none() || self.is_end_stream() {
+            if let Some(body) = request.streamed_body() {
+                body.mark_complete();
+                request.body.end.mark_reached();
             }
-            self.watched.mark_body_written();
+            self.stream.mark_body_handed_over();
         }
-        Poll::Ready(piece.map(|piece| Ok(Frame::data(piece))))
+        Poll::Ready(chunk.map(|chunk| Ok(Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
@@ -216,10 +217,11 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let length = match &self.order.body.payload {
-            Payload::Whole(body) => Some(body.len() as u64),
-            Payload::Streaming(long) => long.length(),
+        let length = match &self.request.body.payload {
+            Payload::Buffered(body) => Some(body.len() as u64),
+            Payload::Streamed(body) => body.length(),
         };
-        length.map_or_else(SizeHint::default, |length| SizeHint::with_exact(length - self.given.min(length)))
+        length
+            .map_or_else(SizeHint::default, |length| SizeHint::with_exact(length - self.yielded.min(length)))
     }
 }
