--- a/client-proxy/src/accept.rs
+++ b/client-proxy/src/accept.rs
@@ -1,4 +1,4 @@
-//! The listening socket: the accept loop, and what waits in the system's queue when the process ends.
+//! The listening socket: the accept loop, and draining the kernel's accept queue at shutdown.
 
 use std::cell::Cell;
 use std::io;
@@ -14,13 +14,14 @@
 use crate::monitored_stream::MonitoredStream;
 use crate::socket_budget::{Side, SocketPermit};
 
-/// The wait after an `accept` that failed, and after several in a row.
+/// Backoff after a failed `accept`, and its maximum after several failures in a row.
 const MIN_ACCEPT_BACKOFF: Duration = Duration::from_millis(1);
 const MAX_ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Connections that the system accepts ahead of us.
+/// Length of the kernel's accept queue.
 const ACCEPT_QUEUE: u32 = 1024;
 
-/// Accepts connections until `closing`, then lets each end as it goes idle and waits for all to end.
+/// Accepts connections until shutdown (`terminating` on a shared listening socket, `draining` otherwise),
+/// then waits for all connections to end.
 pub async fn serve(listener: TcpListener, context: Rc<ClientContext>) {
     let connections = TaskTracker::new();
     let last_empty = Cell::new(Instant::now());
@@ -35,8 +36,8 @@
     loop {
         let next = async {
             if context.listener_shared {
-                // Guards against requests refused by a process that is just starting, beside one that would
-                // serve.
+                // On a shared socket the other process may already be ready. A connection that this process
+                // accepted before it is ready itself would get 503 instead.
                 let _ = ready.wait_for(|ready| *ready).await;
             }
             let slot = acquire_client_slot(&context).await;
@@ -63,8 +64,9 @@
     connections.wait().await;
 }
 
-/// A wait after an `accept` that failed, longer each time. Guards against spinning where the system is out of
-/// descriptors or memory, and against a long wait after a client that merely left at once.
+/// Backoff after a failed `accept`, doubled each time. Without it the loop would spin while the system is out
+/// of descriptors or memory; starting low keeps the wait short if a client merely disconnected before it was
+/// accepted.
 struct AcceptBackoff(Duration);
 
 impl Default for AcceptBackoff {
@@ -80,19 +82,20 @@
     }
 }
 
-/// Asks the system at this moment, whatever the runtime has been told of the listener so far.
+/// Accepts with a system call now, even if the runtime has not yet been notified that the listener is
+/// readable.
 pub(crate) fn accept_now(listener: &TcpListener) -> io::Result<TcpStream> {
     let (stream, _) = SockRef::from(listener).accept()?;
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream.into())
 }
 
-/// Takes in what the system has accepted already.
+/// Accepts the connections that the kernel has completed but the accept loop has not taken. Closing the
+/// listener over them would reset them and lose their requests.
 ///
-/// Guards against requests lost in that queue: only an empty queue ends it, whatever else goes wrong with
-/// `accept`, and where there is no place a connection waits until another one has ended. No more are accepted
-/// than the queue held at its fullest, and none after the last call, so that clients that come again and
-/// again don't keep the process.
+/// Ends only when the queue is empty, whatever other error `accept` returns; without a free slot it waits
+/// until another connection has ended. It accepts at most as many connections as the queue can hold, and none
+/// once the process is about to be killed, so that clients that keep reconnecting do not prevent the exit.
 pub(crate) async fn drain_accept_queue(
     mut accept: impl FnMut() -> io::Result<TcpStream>,
     context: &ClientContext,
@@ -120,8 +123,8 @@
     }
 }
 
-/// The next connection. Notes in `last_empty` when the queue of the system was last known to hold none: the
-/// runtime wakes us as soon as one comes.
+/// Accepts the next connection. Records in `last_empty` when the kernel's queue was last known to be empty:
+/// the runtime wakes this task as soon as a connection arrives.
 async fn accept(listener: &TcpListener, last_empty: &Cell<Instant>) -> io::Result<TcpStream> {
     let mut was_empty = false;
     let accepted = std::future::poll_fn(|cx| {
@@ -136,7 +139,7 @@
     accepted.map(|(stream, _)| stream)
 }
 
-/// A place for one more client, made by closing idle connections to endpoints where there is none.
+/// Takes a descriptor slot for one more client, evicting idle upstream connections if the budget is used up.
 async fn acquire_client_slot(context: &ClientContext) -> SocketPermit {
     loop {
         if let Some(slot) = context.sockets.try_acquire(Side::Client) {
@@ -150,15 +153,15 @@
     }
 }
 
-/// Binds the address and no other, with a queue that holds a burst.
+/// Binds exactly this address, with an accept queue that absorbs a burst of connections.
 ///
 /// # Errors
-/// As the system says.
+/// As returned by the system.
 pub fn listen(address: std::net::SocketAddr) -> std::io::Result<TcpListener> {
     let socket =
         if address.is_ipv4() { tokio::net::TcpSocket::new_v4() } else { tokio::net::TcpSocket::new_v6() }?;
-    // Guards against the remains of an earlier start's connections, which would hold the address for a
-    // minute.
+    // Connections of an earlier process may remain in TIME_WAIT for a minute; without SO_REUSEADDR the bind
+    // would fail until then.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(ACCEPT_QUEUE)
--- a/client-proxy/src/admin.rs
+++ b/client-proxy/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' address: one line to a connection, one answer, then it closes. Nothing is decided here.
+//! The operators' address. Each connection sends one command line and gets one reply, then it is closed.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -13,33 +13,35 @@
 
 use crate::driver::Driver;
 
-/// Callers that may be connected at once; descriptors for so many are kept apart from those of clients and
+/// Connections that may be open at once. Their descriptors are set aside from those for clients and
 /// endpoints.
 const MAX_CONNECTIONS: usize = 16;
-/// What the listener and all callers hold, with one that is just let in and one that is just let go.
+/// Descriptors of the listener and all connections, with one that was just accepted and one that was just
+/// aborted.
 pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 3;
-/// The longest line that is read. Far longer than any call.
+/// Longest command line in bytes, far longer than any valid command.
 const MAX_LINE_LENGTH: usize = 512;
-/// How long a caller may take for its line, and as long again for its answer.
+/// Time limit for receiving the command; the whole connection may take twice as long.
 const IO_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Where all places are taken, one that has held its place for so long gives it up to the next.
+/// When all slots are in use, the oldest connection that is waiting for its command may be closed after this
+/// time to make room for a new one.
 const EVICTABLE_AFTER: Duration = Duration::from_millis(100);
-/// How long and how much is still read of one that goes on after its line, lest the close take its answer
-/// away.
+/// How long, and how many bytes, a connection is still read after the reply. Closing a socket with unread
+/// data sends a reset, which may destroy the reply.
 const LINGER_TIME: Duration = Duration::from_millis(200);
 const LINGER_MAX_BYTES: usize = 64 * 1024;
-/// A pause of the accept loop where the system has no more descriptors.
+/// Backoff of the accept loop when the system is out of descriptors or all slots are in use.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What the calls are answered from.
+/// State that commands read and change.
 pub struct Admin {
-    /// Counts, and takes what is said of endpoints to the decisions.
+    /// Provides the metrics and applies operator overrides.
     pub driver: Rc<Driver>,
-    /// Turns true once there are endpoints to send to.
+    /// Becomes true once there are endpoints to send requests to.
     pub ready: watch::Receiver<bool>,
 }
 
-/// A call that was understood.
+/// A valid command.
 #[derive(Debug, PartialEq)]
 enum Command<'l> {
     Ping,
@@ -48,7 +50,7 @@
     Attach(&'l str),
 }
 
-/// Reads a call. Words are parted by blanks; the names of calls are in capitals.
+/// Parses a command line. Words are separated by whitespace; command names are upper case.
 fn parse_command(line: &[u8]) -> Result<Command<'_>, &'static str> {
     let line = std::str::from_utf8(line).map_err(|_| "the line is no text")?;
     let mut words = line.split_ascii_whitespace();
@@ -85,10 +87,10 @@
     }
 }
 
-/// Answers calls for as long as the program runs.
+/// Accepts connections and runs their commands for as long as the program runs.
 pub async fn serve(listener: TcpListener, admin: Rc<Admin>) {
     let mut tasks = JoinSet::new();
-    // The longest first.
+    // Oldest first.
     let mut connections = VecDeque::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -98,17 +100,18 @@
         loop {
             while tasks.try_join_next().is_some() {}
             connections.retain(|connection: &AdminConnection| !connection.task.is_finished());
-            // Guards against an operator that is owed an answer and loses its place while the folder is slow.
+            // A connection whose command is being carried out is not evicted: its operator would get no reply
+            // while the state folder is slow.
             let oldest = connections.iter().find(|connection| !connection.is_reply_pending.get());
             match oldest {
                 _ if connections.len() < MAX_CONNECTIONS => break,
-                // Guards against callers that hold all places: whoever asks must not wait for those that do
-                // not.
+                // Idle connections could otherwise occupy all slots and lock out an operator who has a
+                // command to send.
                 Some(oldest) if oldest.accepted_at.elapsed() >= EVICTABLE_AFTER => {
                     oldest.task.abort();
                     tokio::task::yield_now().await;
                 }
-                // Those that have just come may only be about to ask.
+                // Recently accepted connections may be about to send their command.
                 _ => sleep(ACCEPT_BACKOFF).await,
             }
         }
@@ -121,10 +124,10 @@
     }
 }
 
-/// A caller that has a place.
+/// An open connection.
 struct AdminConnection {
     accepted_at: Instant,
-    /// Its call has come, and its answer has not gone out.
+    /// The command was received, and the reply has not been sent.
     is_reply_pending: Rc<Cell<bool>>,
     task: AbortHandle,
 }
@@ -140,7 +143,7 @@
             admin.reply(&line).await
         }
         Ok(Ok(None)) => format!("-ERR no line end within {MAX_LINE_LENGTH} bytes\n"),
-        // One that broke off or never came to an end hears nothing more.
+        // The peer disconnected or sent no complete line in time: there is nothing to reply to.
         Ok(Err(_)) | Err(_) => return Ok(()),
     };
     is_reply_pending.set(false);
@@ -151,7 +154,8 @@
     Ok(())
 }
 
-/// One line without its end; `None` where it is too long. What ends without a line end is no line.
+/// Reads one line and strips its end; `None` if it is too long. Input that ends without a line feed is an
+/// error.
 async fn read_line(stream: &mut TcpStream) -> std::io::Result<Option<Vec<u8>>> {
     let mut line = Vec::with_capacity(64);
     while line.len() < MAX_LINE_LENGTH {
--- a/client-proxy/src/clients.rs
+++ b/client-proxy/src/clients.rs
@@ -1,4 +1,4 @@
-//! Client connections: `/ready`, requests in, and exactly one final answer out for each.
+//! Client connections: serves `/ready`, reads requests and sends exactly one final response to each.
 
 mod client_io;
 mod connection_state;
@@ -36,51 +36,53 @@
 use crate::socket_budget::SocketBudget;
 use crate::upstream_request::{RequestBody, UpstreamRequest};
 
-/// The decisions' time ends so long before the client's: for the way back, and for a timer that comes late.
+/// The deadline given to the balancer precedes the client's by this much, for the way back and a timer that
+/// fires late.
 const DECISION_MARGIN: Duration = Duration::from_millis(15);
-/// At the latest so long before the client's time is up the answer leaves, whatever the decisions do.
+/// The final response is sent at least this long before the client's deadline, whatever the balancer does.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(5);
-/// How long after its head a body may take beyond what it needs at its pace; what a first request has left,
-/// if more.
+/// Time that a body may take beyond what its minimum rate allows, counted from the end of the head. The first
+/// body of a connection gets what is left of `FIRST_REQUEST_TIMEOUT` if that is more.
 const FIRST_BODY_GRACE: Duration = Duration::from_millis(700);
 const BODY_GRACE: Duration = Duration::from_millis(2_000);
-/// How long what still comes is read after the last answer, so that the answer is not lost with it.
+/// How long a connection is still read after the last response. Closing a socket with unread data sends a
+/// reset, which may destroy the response.
 const LINGER_TIME: Duration = Duration::from_millis(1_000);
-/// For a request of which only part has come when there is no time left to answer it: never forwarded, so
-/// trying again is harmless.
+/// Response to a partial request when there is no time left to read the rest. It was never forwarded, so a
+/// retry is safe.
 const LATE_REQUEST_REJECTED: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// What all connections share.
+/// State shared by all client connections.
 pub struct ClientContext {
-    /// Where requests go.
+    /// Gets the requests.
     pub driver: Rc<Driver>,
-    /// For what names and numbers mean.
+    /// Defines the request classes.
     pub settings: Settings,
-    /// In the order of the settings' numbers.
+    /// Names, in the order of the numbers in `settings`.
     pub names: Names,
-    /// Turns true once there are endpoints to send to.
+    /// Becomes true once there are endpoints to send requests to.
     pub ready: watch::Receiver<bool>,
-    /// The budget that client connections come out of.
+    /// Budget that client connections take their slots from.
     pub sockets: Rc<SocketBudget>,
-    /// For the bodies of requests.
+    /// Budget for request bodies.
     pub request_memory: Rc<MemoryBudget>,
-    /// Whose idle connections make room for clients.
+    /// Idle upstream connections are evicted from this pool to free slots for clients.
     pub endpoints: Rc<EndpointPool>,
-    /// The listening socket is not ours alone: what waits there is taken in by another process if not by this
-    /// one.
+    /// Another process accepts from the same listening socket, so connections left in its queue are not lost
+    /// when this process exits.
     pub listener_shared: bool,
-    /// How far a planned end has come.
+    /// Progress of a graceful shutdown.
     pub shutdown: Shutdown,
 }
 
-/// How the HTTP part of a connection has ended.
+/// Why HTTP processing on a connection ended.
 enum HttpEnd {
-    /// By itself: the client has closed, or broken the protocol.
+    /// The client closed the connection or broke the protocol.
     Finished,
-    /// Its client takes or sends nothing.
+    /// The client does not read its response or does not send its request.
     Stalled,
-    /// The process ends, and nothing waits for an answer.
+    /// The process is shutting down, and no response is pending.
     Closable,
 }
 
@@ -89,7 +91,8 @@
     context: Rc<ClientContext>,
     queue_last_empty: Instant,
 ) {
-    // Asked of the system: what is there already has waited with its connection.
+    // Asked of the system, since the runtime may not have been notified yet. Data that is there already may
+    // have waited since before the connection was accepted.
     if !stream.is_quiet() {
         stream.set_unread_since(queue_last_empty);
     }
@@ -102,11 +105,12 @@
         request_end: RefCell::default(),
         close_responses: Cell::new(0),
     });
-    // There is none before the first request.
+    // No request is unread before the first one.
     conn.request_end().mark_reached();
     let kill_imminent = &context.shutdown.kill_imminent;
     let mut builder = Builder::new();
-    // A client that has ended what it sends may still read its answer; whether it has is watched here.
+    // A client that has shut down its writing side may still read its response. `ConnectionState` detects
+    // whether it has disconnected.
     builder.timer(TokioTimer::new()).header_read_timeout(None).max_buf_size(BUFFER_SIZE).half_close(true);
     let mut put_back_before = 0;
     loop {
@@ -115,7 +119,8 @@
         let service = service_fn(|request| respond_to(request, Rc::clone(&context), Rc::clone(&conn)));
         let mut http = builder.serve_connection(TokioIo::new(io), service);
         let is_end_reached = match serve_http(&mut http, &conn, &context.shutdown).await {
-            // Its last answer asked the client to come back, and more may have been read behind that request.
+            // The last response asked the client to reconnect (`Connection: close`), which ends HTTP
+            // processing, but requests pipelined behind it may have been read already.
             HttpEnd::Finished if conn.close_responses.get() > close_responses_before => {
                 conn.request_end().wait_until_reached(LINGER_TIME).await
             }
@@ -127,39 +132,40 @@
             }
         };
         if !is_end_reached {
-            // Guards against bytes of a body being taken for a request, which no client meant as one.
+            // The unread rest of the body would be parsed as the next request.
             break;
         }
-        // Guards against a close over requests, or part of one, that were read together with the one before.
+        // hyper has read pipelined requests, or part of one, into its buffer. Closing now would lose them, so
+        // they are put back and served by a new HTTP connection.
         let put_back = stream.put_back(&http.into_parts().read_buf);
         if put_back == 0 {
             break;
         }
         if kill_imminent.is_cancelled() && put_back == put_back_before {
-            // Part of a request, the rest of which comes too late.
+            // A partial request; the rest of it would arrive too late.
             stream.write_now(LATE_REQUEST_REJECTED);
             break;
         }
         put_back_before = put_back;
     }
-    // Guards against an answer lost with the rest of a request that it did not wait for.
+    // Closing over an unread rest of a request would reset the connection, and the client could lose the
+    // response.
     stream.drain(LINGER_TIME).await;
 }
 
-/// Serves until the client ends the connection, or the process does so to one that is idle.
+/// Serves requests until the client closes the connection, or the connection is idle during shutdown.
 async fn serve_http<H: Future + Unpin>(http: &mut H, conn: &ConnectionState, shutdown: &Shutdown) -> HttpEnd {
-    // Guards against closing over a request that has come in but was not read yet, or not to its end: an idle
-    // connection is closed at once, and what it still held would be lost.
+    // hyper closes an idle connection at once on graceful shutdown. A request that has arrived but was not
+    // read yet, or only in part, would be lost.
     let closable = async {
         shutdown.draining.cancelled().await;
         conn.wait_until_closable(&shutdown.kill_imminent).await;
     };
     tokio::select! {
         biased;
-        // A client that breaks off, or whose words are no HTTP (answered 400), ends its connection and no
-        // more.
+        // A client that disconnects or sends invalid HTTP (which gets 400) affects only its own connection.
         _ = http => HttpEnd::Finished,
-        // So does one that leaves its answers unread.
+        // So does a client that does not read its responses or send its request in time.
         _ = conn.wait_for_unread_response() => HttpEnd::Stalled,
         _ = conn.wait_for_head_timeout() => HttpEnd::Stalled,
         never = conn.drain_bodies() => match never {},
@@ -167,7 +173,7 @@
     }
 }
 
-/// Answers one request of a connection.
+/// Handles one request of a connection.
 async fn respond_to(
     request: Request<Incoming>,
     context: Rc<ClientContext>,
@@ -180,12 +186,12 @@
     conn.is_streaming.set(matches!(response.body().body, UpstreamBody::Streamed(_)));
     response.body_mut().active_request = Some(active_request);
     if context.shutdown.terminating.is_cancelled() && context.listener_shared {
-        // Asks the client to come back on a new connection, which the next process takes in.
+        // Asks the client to reconnect: the other process will accept the new connection.
         let had_close =
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close")).is_some();
         if !had_close {
-            // Guards against requests lost behind a body that this answer did not wait for: it is read to its
-            // end.
+            // Requests may be pipelined behind a body that this response did not wait for. The body is
+            // drained to its end, so that they are found and get a response.
             conn.close_responses.set(conn.close_responses.get() + 1);
             return Ok(response);
         }
@@ -212,7 +218,7 @@
         let ready = *context.ready.borrow();
         return empty_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
     }
-    // The time of a first request counts from its connection.
+    // The first request of a connection has to be complete within a time that counts from accept.
     let grace = match conn.idle_since.get() {
         None => (conn.opened_at + FIRST_REQUEST_TIMEOUT)
             .saturating_duration_since(received_at)
@@ -221,15 +227,16 @@
     };
     if context.shutdown.kill_imminent.is_cancelled() {
         leave_unread(request);
-        // Never forwarded, so trying again is harmless.
+        // Never forwarded, so a retry is safe.
         return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     let dispatched = tokio::select! {
         biased;
         dispatched = read_and_dispatch(request, context, conn, end, received_at, grace) => dispatched,
-        // Guards against a request that the kill finds unanswered: an attempt of it may be in flight.
+        // The process may be killed before the response comes, and an attempt may be in flight, so the
+        // outcome is unknown.
         _ = context.shutdown.kill_imminent.cancelled() => {
-            // The rest of it comes too late.
+            // The rest of the body would arrive too late.
             end.abandon();
             return empty_response(StatusCode::BAD_GATEWAY);
         }
@@ -240,7 +247,8 @@
             end.abandon();
             let mut response = empty_response(error.status());
             response.body_mut().body = UpstreamBody::Buffered(format!("{error}\n").into());
-            // Guards against what follows being read as a request of its own, which no client meant as one.
+            // The next bytes may belong to the body of the rejected request and must not be parsed as a
+            // request.
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             response
         }
@@ -283,7 +291,7 @@
     }
 }
 
-/// Reads a request and checks it, and has it answered.
+/// Reads and checks a request, submits it and waits for its final response.
 async fn read_and_dispatch(
     request: Request<Incoming>,
     context: &ClientContext,
@@ -301,7 +309,7 @@
     let length = body.size_hint().exact();
     let mut body = PacedBody::new(body, grace);
     let (prefix, permit, is_complete) = match body.read_prefix(&context.request_memory).await {
-        // Guards against requests lost behind this one: what is left of its body is read before them.
+        // The rest of the body is drained, so that requests pipelined behind it are not lost.
         Err(BodyError::NoMemory) => {
             end.leave_unread(Unread::PacedBody(body));
             return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
@@ -312,16 +320,18 @@
         end.mark_reached();
     }
     if conn.close_responses.get() > 0 {
-        // Guards against an effect that runs twice: the client has been told that nothing behind that answer
-        // is worked on, and may already have sent this one elsewhere. Never forwarded, so trying again is
-        // harmless.
+        // An earlier response carried `Connection: close`, so the client may already have retried this
+        // request on another connection; forwarding it here too could run its effect twice. It was never
+        // forwarded, so a retry is safe.
         end.leave_unread(Unread::PacedBody(body));
         return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
     }
-    // A client's time counts from the last byte of its request. What it waited for our room is its time too.
+    // The client's timeout counts from the last byte of its request. Time that the request waited for our
+    // memory budget also counts.
     let waited = body.waited();
     let received_at = received_at + waited;
-    // Nothing behind its last byte is read until it has been answered.
+    // Nothing behind the last byte of this request is read until it has its response, so the last read
+    // belongs to it.
     let sent_after = conn.stream.last_read_sent_after().min(received_at);
     let (_memory, body) = match is_complete {
         true => (permit, Payload::Buffered(prefix)),
@@ -362,7 +372,8 @@
         suspect_idle_time,
     };
     if request.streamed_body().is_none() && conn.stream.read_ahead_for_end().is_some() {
-        // Guards against an attempt for a client that left while its request waited to be read.
+        // The client has closed its writing side while its request waited to be read: an attempt would be
+        // wasted.
         return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
     }
     Ok(build_response(
--- a/client-proxy/src/clients/client_io.rs
+++ b/client-proxy/src/clients/client_io.rs
@@ -1,4 +1,4 @@
-//! A client's stream, as the HTTP connection is given it.
+//! The client stream as hyper sees it.
 
 use std::io;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 
 use crate::monitored_stream::Io;
 
-/// A client's stream, as the HTTP connection is given it.
+/// The client stream as hyper sees it: during the last phase of a shutdown it reads no further requests.
 pub(super) struct ClientIo {
     pub(super) io: Io,
     pub(super) kill_imminent: CancellationToken,
@@ -22,7 +22,8 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.kill_imminent.is_cancelled() && self.io.0.is_read_ahead_empty() {
-            // What would be read now could not be answered any more. Whoever watches the connection ends it.
+            // There is no time left to respond to anything that would be read now. `ConnectionState` ends the
+            // connection.
             return Poll::Pending;
         }
         Pin::new(&mut self.io).poll_read(cx, buf)
@@ -39,7 +40,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Left to `MonitoredStream::drain`.
+        // `MonitoredStream::drain` shuts the stream down later.
         Poll::Ready(Ok(()))
     }
 }
--- a/client-proxy/src/clients/connection_state.rs
+++ b/client-proxy/src/clients/connection_state.rs
@@ -1,4 +1,4 @@
-//! State of one client connection: when it is overdue, and when it may be closed.
+//! State of one client connection: when it times out and when it may be closed.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -14,40 +14,41 @@
 use crate::monitored_stream::MonitoredStream;
 use crate::request_end::RequestEnd;
 
-/// A head has so long from its first byte, and a connection on which none begins is closed after as long: it
-/// holds a place. A first request has to come within the other of its connection: peers are owed an end
-/// within 3 s.
+/// Time limit for a request head, counted from its first byte; also how long a connection may be idle, since
+/// it occupies a slot. `FIRST_REQUEST_TIMEOUT` limits the first head of a connection, counted from accept.
+/// Both are below the 3 s within which clients have to get an end.
 pub(super) const HEAD_TIMEOUT: Duration = Duration::from_millis(2_200);
 
 pub(super) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_900);
 
-/// A client that takes nothing of its answer for so long is let go: no answer is of use to it any more. One
-/// that is given a long answer may rest for longer.
+/// A client that reads none of its response for this long is disconnected: by then no response is of use to
+/// it. A client of a streamed response may pause for longer (`STREAM_STALL_TIMEOUT`).
 pub(super) const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 pub(super) const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// How soon after a request has come in it is looked for again at the end.
+/// How soon a connection that has just received data, or that is to be closed, is checked again.
 pub(super) const RECHECK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What the watch over a connection goes by.
+/// State that the timeouts and the graceful shutdown of a connection depend on.
 pub(super) struct ConnectionState {
     pub(super) stream: Rc<MonitoredStream>,
     pub(super) opened_at: Instant,
-    /// Requests that are being answered: one at the most.
+    /// Requests without a complete response: at most one.
     pub(super) active_requests: Cell<usize>,
-    /// Since when there is none.
+    /// When the last response ended; `None` before that.
     pub(super) idle_since: Cell<Option<Instant>>,
-    /// The answer goes on as it comes.
+    /// The current or last response is streamed.
     pub(super) is_streaming: Cell<bool>,
-    /// The end of the newest request.
+    /// Reading state of the newest request.
     pub(super) request_end: RefCell<Rc<RequestEnd>>,
-    /// Answers that asked the client to come back on a new connection.
+    /// Responses that asked the client to reconnect (`Connection: close`).
     pub(super) close_responses: Cell<usize>,
 }
 
 impl ConnectionState {
-    /// Until when a head has to be there; that of a request which is being answered is far off.
+    /// When the next request head has to be complete. While a request is handled, this is always in the
+    /// future.
     pub(super) fn head_deadline(&self) -> Instant {
         match (self.active_requests.get(), self.idle_since.get(), self.stream.first_byte_at()) {
             (0, None, None) => self.opened_at + HEAD_TIMEOUT,
@@ -55,15 +56,15 @@
                 (first_byte_at + HEAD_TIMEOUT).min(self.opened_at + FIRST_REQUEST_TIMEOUT)
             }
             (0, Some(_), Some(first_byte_at)) => first_byte_at + HEAD_TIMEOUT,
-            // Guards against a close that reaches a client before it has read its answer: the last of it may
-            // be with the system only, and the client may rest.
+            // The end of a streamed response may still be in the socket buffer while the client pauses.
+            // Closing at the shorter idle timeout could truncate the response before the client has read it.
             (0, Some(idle_since), None) if self.is_streaming.get() => idle_since + STREAM_STALL_TIMEOUT,
             (0, Some(idle_since), None) => idle_since + HEAD_TIMEOUT,
             _ => Instant::now() + HEAD_TIMEOUT,
         }
     }
 
-    /// Waits until a head ought to have come and has not.
+    /// Waits until a request head is late.
     pub(super) async fn wait_for_head_timeout(&self) {
         loop {
             let due = self.head_deadline();
@@ -74,7 +75,7 @@
             if self.stream.is_quiet() {
                 return;
             }
-            // Guards against a close over a request that has come in but was not read yet.
+            // A request may have arrived that was not read yet; closing now would lose it.
             sleep(RECHECK_INTERVAL).await;
             if self.head_deadline() <= Instant::now() {
                 return;
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Waits until an answer has been left unread for too long.
+    /// Waits until the client has left a response unread for too long.
     pub(super) async fn wait_for_unread_response(&self) {
         loop {
             let limit = if self.is_streaming.get() { STREAM_STALL_TIMEOUT } else { RESPONSE_STALL_TIMEOUT };
@@ -94,14 +95,14 @@
         }
     }
 
-    /// Whether the first part of a head has come, and no more, or a long answer may still be read.
+    /// Whether a request head has arrived in part, or a client may still be reading a streamed response.
     pub(super) fn is_in_use(&self) -> bool {
         self.active_requests.get() == 0 && (self.stream.first_byte_at().is_some() || self.is_streaming.get())
     }
 
-    /// Whether the connection may be closed at this moment, as far as the system and the HTTP connection
-    /// know: nothing is being answered, all answers are with the system and nothing has come in that waits.
-    /// After the last call what has not been read yet waits in vain.
+    /// Whether the connection may be closed now, asked of the system and of hyper: no request is being
+    /// handled, all responses are in the socket buffer, and no data is waiting to be read. Once the process
+    /// is about to be killed, unread data does not count any more: there is no time left for a response.
     pub(super) fn may_close(&self, kill_imminent: bool) -> bool {
         let is_answered = self.active_requests.get() == 0 && self.stream.write_stalled_for().is_zero();
         let is_idle = || self.stream.is_quiet() && !self.is_in_use() && !self.request_end().is_unread();
@@ -112,7 +113,7 @@
         Rc::clone(&self.request_end.borrow())
     }
 
-    /// Reads and drops what answers did not wait for of the bodies of their requests.
+    /// Reads and discards the bodies that responses did not wait for.
     pub(super) async fn drain_bodies(&self) -> Infallible {
         std::future::poll_fn(|cx| {
             let _ = self.request_end.borrow().poll_drain(cx, LINGER_TIME);
@@ -121,15 +122,15 @@
         .await
     }
 
-    /// Waits until the connection may be closed. It is looked at whenever this is polled, so that a client
-    /// that sends again and again is closed right behind an answer.
+    /// Waits until the connection may be closed. This is checked at each poll, so that a client that sends
+    /// one request after another is closed right behind a response.
     pub(super) async fn wait_until_closable(&self, kill_imminent: &CancellationToken) {
         let mut recheck = pin!(sleep(RECHECK_INTERVAL));
         std::future::poll_fn(|cx| {
             if self.may_close(kill_imminent.is_cancelled()) {
                 return Poll::Ready(());
             }
-            // The end of an answer wakes the task by itself.
+            // The end of a response wakes this task, so no timer is needed while a request is handled.
             while self.active_requests.get() == 0 && recheck.as_mut().poll(cx).is_ready() {
                 recheck.as_mut().reset(Instant::now() + RECHECK_INTERVAL);
             }
@@ -144,10 +145,10 @@
     }
 }
 
-/// A request that is being answered, until its answer has been handed to the writer.
+/// A request in progress, until its response has been handed to hyper's writer.
 pub(super) struct ActiveRequest {
     pub(super) conn: Rc<ConnectionState>,
-    /// What had been written to the client when the request came in: the answers before this one.
+    /// Bytes written to the client when this request arrived, that is, by the responses before it.
     pub(super) written_before: u64,
 }
 
--- a/client-proxy/src/clients/response_body.rs
+++ b/client-proxy/src/clients/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response on its way to a client.
+//! Body of a response to a client.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -13,12 +13,12 @@
 use crate::request_body::next_chunk;
 use crate::response_forwarding::ResponseForwarder;
 
-/// The body of an answer to a client.
+/// Body of a response to a client, buffered or streamed.
 pub(super) struct ResponseBody {
     pub(super) body: UpstreamBody,
-    /// How its request ends while it goes on as it comes; `None` for what is no answer to a request.
+    /// Watches for a stalled stream; `None` if the response did not come from an endpoint.
     pub(super) forwarder: Option<ResponseForwarder>,
-    /// Why it broke off, until that may be told.
+    /// Why the stream failed; kept until the first bytes of the response have been sent.
     pub(super) error: Option<ResponseError>,
     pub(super) recorder: Option<OutcomeRecorder>,
     pub(super) _memory: Option<MemoryPermit>,
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Some of it has left for the client.
+    /// Whether any byte of this response has been written to the socket.
     pub(super) fn is_started(&self) -> bool {
         self.active_request
             .as_ref()
             .is_none_or(|active_request| active_request.conn.stream.written() > active_request.written_before)
     }
 
-    /// The next piece, or how it broke off.
+    /// The next chunk, or the error that truncates the response.
     pub(super) fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, ResponseError>>> {
         let stream = match &mut self.body {
             UpstreamBody::Buffered(remaining) if remaining.is_empty() => return Poll::Ready(None),
--- a/client-proxy/src/config.rs
+++ b/client-proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! What this client proxy is told at its start: `$GW_CONFIG`, and the variables that stand above it.
+//! Start-up configuration: the file that `$GW_CONFIG` names, and the environment variables that override it.
 
 use std::net::SocketAddr;
 use std::{env, fs};
@@ -11,40 +11,40 @@
 use crate::fleet_config::{FleetConfig, Relays};
 use crate::names::Names;
 
-/// What a process may hold where the configuration does not say.
+/// Limit of open descriptors if the configuration sets none.
 const DEFAULT_SOCKETS: usize = 1024;
-/// And what memory, in MB: the least that a client proxy is given.
+/// Memory limit in MB if the configuration sets none: the smallest that a client proxy is given.
 const DEFAULT_MEMORY_MB: usize = 32;
-/// Fewer descriptors than this leave no room for clients beside discovery and the process's own.
+/// Discovery and the process's own descriptors would leave no room for clients below this limit.
 const MIN_SOCKETS: usize = 64;
 
-/// All of the configuration, checked.
+/// The complete, validated configuration.
 pub struct Config {
-    /// The name of this client proxy, for the log.
+    /// Name of this client proxy, used in log lines and in the name of the state file.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where operators connect; without it there is no such address.
+    /// Address on which operators connect; not opened if absent.
     pub admin: Option<SocketAddr>,
-    /// Where discovery is, or the agent that passes on its news.
+    /// Address of discovery or of the agent that forwards its updates.
     pub discovery: SocketAddr,
-    /// Relays that are asked in its place, if there are any.
+    /// Relays that are polled instead of `discovery`.
     pub relays: Option<Relays>,
-    /// For random numbers; new with each start.
+    /// Seed of the random number generators; different at each start.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Limit of open file descriptors.
     pub sockets: usize,
-    /// Memory that the process may use, in bytes.
+    /// Memory limit in bytes.
     pub memory: usize,
-    /// The list of endpoints as this client proxy last had it, in discovery's form; may be old.
+    /// The last known endpoint list in discovery's format; may be out of date.
     pub cached_list: Option<serde_json::Value>,
-    /// What the decisions work with.
+    /// Settings of the balancer.
     pub settings: Settings,
-    /// Names, in the order of the settings' numbers.
+    /// Names, in the order of the numbers in `settings`.
     pub names: Names,
 }
 
-/// The variables that stand above the file.
+/// Values from environment variables, which override those in the file.
 struct EnvOverrides {
     name: Option<String>,
     listen: Option<String>,
@@ -73,10 +73,10 @@
 }
 
 impl Config {
-    /// Reads the configuration that the environment points to.
+    /// Reads the configuration file that `$GW_CONFIG` names, the variables that override it, and `$GW_FLEET`.
     ///
     /// # Errors
-    /// Names the first variable or field at fault.
+    /// The first invalid or missing variable or field.
     pub fn from_env() -> Result<Config, ConfigError> {
         let text = Config::read_file()?;
         let var = |name| env::var(name).ok().filter(|value| !value.is_empty());
@@ -93,11 +93,11 @@
         Ok(config)
     }
 
-    /// Where discovery is by the file as it is now; that alone may change while the program runs. The
-    /// variables still say what they said at the start, so they do not count.
+    /// Rereads the address of discovery from the configuration file, the only setting that may change while
+    /// the process runs. `$GW_DISCOVERY` is ignored: the environment still has its value from startup.
     ///
     /// # Errors
-    /// Names the field at fault.
+    /// The invalid or missing field.
     pub fn reread_discovery() -> Result<SocketAddr, ConfigError> {
         #[derive(Deserialize)]
         struct DiscoveryField {
@@ -128,7 +128,8 @@
         if !(1.0..1e9).contains(&memory_mb) {
             return Err(invalid_field("limits.memory_mb", &format!("{memory_mb} is no memory to work in")));
         }
-        // A seed in another form than the documented one must not pass for some fixed number.
+        // Only the documented form is accepted: a fallback for other forms would give all processes the same
+        // fixed seed.
         let seed = file.seed.ok_or_else(|| invalid_field("seed", "is missing"))?;
         let seed = u64::from_str_radix(&seed, 16).map_err(|_| invalid_field("seed", "is not hex digits"))?;
         let names = Names {
@@ -166,7 +167,7 @@
     ConfigError::Field { field: field.to_owned(), problem: problem.to_owned() }
 }
 
-/// The variable stands above the file.
+/// Parses an address; the variable takes precedence over the file.
 fn address(var: Option<String>, file: Option<String>, field: &str) -> Result<SocketAddr, ConfigError> {
     let text = var.or(file).ok_or_else(|| invalid_field(field, "is missing"))?;
     text.parse().map_err(|_| invalid_field(field, &format!("{text:?} is not an address and port")))
--- a/client-proxy/src/config_error.rs
+++ b/client-proxy/src/config_error.rs
@@ -1,45 +1,45 @@
-//! Why the configuration cannot be used.
+//! Errors in the configuration.
 
 use std::io;
 
 use balancer::SettingsError;
 use thiserror::Error;
 
-/// Why the program cannot start; each reads as one line that names the field.
+/// Why the program cannot start. Each displays as one line that names the variable or field.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A variable that has to be there is not.
+    /// A required variable is not set.
     #[error("{0} is not set")]
     Unset(&'static str),
-    /// The file cannot be read.
+    /// A configuration file cannot be read.
     #[error("{variable}: {path}: {source}")]
     Unreadable {
-        /// The one that names it.
+        /// Variable that names the file.
         variable: &'static str,
-        /// As the variable has it.
+        /// Path in that variable.
         path: String,
-        /// What the system said.
+        /// Error of the system call.
         source: io::Error,
     },
-    /// A field of the file is missing or of the wrong form.
+    /// A field of the `$GW_CONFIG` file is missing or invalid.
     #[error("GW_CONFIG: {field}: {problem}")]
     Field {
-        /// Its path, such as `settings.limits.attemptsCap`.
+        /// Path of the field, such as `settings.limits.attemptsCap`.
         field: String,
-        /// What is wrong.
+        /// What is wrong with it.
         problem: String,
     },
-    /// A key of the second file is unknown, or of the wrong form.
+    /// A key of the `$GW_FLEET` file is unknown or invalid.
     #[error("GW_FLEET: {path}: {key}: {problem}")]
     FleetKey {
-        /// As the variable has it.
+        /// Path of the file.
         path: String,
-        /// Its table and name, or its line.
+        /// Table and key, or the line number.
         key: String,
-        /// What is wrong.
+        /// What is wrong with it.
         problem: String,
     },
-    /// The decisions cannot work with these settings.
+    /// The balancer rejects the settings.
     #[error("GW_CONFIG: {0}")]
     Settings(#[from] SettingsError),
 }
--- a/client-proxy/src/discovery.rs
+++ b/client-proxy/src/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery: lists and watches, turned into news for the decisions and places for the connections. Which
-//! call comes next, until when it has to be answered and what the answer says is `discovery_proto`'s; here
-//! are the sockets.
+//! Follows the endpoint list and passes updates to the balancer and the endpoint pool. `discovery_proto`
+//! decides which poll comes next, when it times out and what a response means; this module has the
+//! connections.
 
 mod source_selector;
 
@@ -28,34 +28,34 @@
 
 pub use self::source_selector::SourceSelector;
 
-/// A part of each call's time: a dial that takes longer is to a discovery that cannot be reached.
+/// Part of the timeout of a poll: discovery counts as unreachable if a dial takes longer.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Guards against a discovery that answers without end what does not wait: a breath before the next call,
-/// well within the 200 ms in which a watch goes on.
+/// Minimum time between polls that discovery should have held open but returned at once, which could
+/// otherwise go on in a tight loop. Well below 200 ms, the time within which a watch has to be resumed.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A list may be long, but not endless.
+/// Limit for the size of an endpoint list.
 const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
-/// How long to wait for a first answer where endpoints are known from before.
+/// How long readiness waits for the first response of discovery if endpoints are known from before.
 const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Keeps the list of endpoints as discovery tells it.
+/// Follows the endpoint list.
 pub struct Discovery {
     sources: SourceSelector,
     mode: Mode,
     driver: Rc<Driver>,
-    /// Where the list is handed on to the next process, if there is to be one.
+    /// Where the list is stored for the next process, if there can be one.
     state: Option<Rc<ProcessState>>,
     subscription: Subscription<EndpointPool>,
     rng: Pcg32,
     connection: Option<DiscoveryConnection>,
-    /// Where the last call went.
+    /// Address of the last poll.
     last_address: Option<SocketAddr>,
     failing: bool,
     ready: watch::Sender<bool>,
 }
 
 impl Discovery {
-    /// Nothing is asked before [`Discovery::run`].
+    /// Does not poll before [`Discovery::run`].
     pub fn new(
         sources: SourceSelector,
         mode: Mode,
@@ -89,12 +89,12 @@
         }
     }
 
-    /// Turns true once there are endpoints to send to.
+    /// Becomes true once there are endpoints to send requests to.
     pub fn ready(&self) -> watch::Receiver<bool> {
         self.ready.subscribe()
     }
 
-    /// Follows the list for as long as the program runs, beginning with what was `known` before.
+    /// Follows the list for as long as the program runs, starting from the list that was `known` before.
     pub async fn run(
         mut self,
         known: Option<Value>,
@@ -103,8 +103,8 @@
         let mut has_cached_list = false;
         match known.map(serde_json::from_value) {
             Some(Ok(list)) => {
-                // Where lists are pushed the whole list is to be had for nothing, so no old version is built
-                // on.
+                // In `Push` mode the full snapshot costs nothing extra, so the old version is not
+                // resumed from.
                 let entries =
                     self.subscription.restore(list, self.mode == Mode::Pull, self.driver.clock().now());
                 self.log_problems();
@@ -122,7 +122,7 @@
             None => {}
         }
         if !has_cached_list {
-            // The decisions begin with an event, also where nothing was known.
+            // The balancer needs a first snapshot, even if no list is known.
             self.driver.apply_endpoint_update(EndpointUpdate::CachedSnapshot(Vec::new()));
         }
         self.driver.apply_operator_overrides();
@@ -131,7 +131,7 @@
             Mode::Pull => loop {
                 let command = tokio::select! {
                     command = commands.recv() => command,
-                    // A move ends the pause that the decisions make after a failure: that was of the old
+                    // A new address ends the balancer's backoff after a failure, which concerned the old
                     // address.
                     () = self.sources.wait_for_move() => Some(DiscoveryCommand::Watch),
                 };
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Lists that are pushed: goes on asking the agent, also through its silence.
+    /// `Push` mode: polls continuously, retrying while the agent does not respond.
     async fn follow(&mut self) {
         loop {
             if let Err(error) = self.poll().await {
@@ -153,14 +153,14 @@
                 let jitter = 0.5 + 0.5 * f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
                 tokio::select! {
                     () = sleep(backoff.mul_f64(jitter)) => {}
-                    // A move ends the pause: that was of the old address.
+                    // A new address ends the backoff, which concerned the old address.
                     () = self.sources.wait_for_move() => {}
                 }
             }
         }
     }
 
-    /// Lists that are asked for: the decisions say when, and back off by themselves.
+    /// `Pull` mode: the balancer decides when to poll and when to retry.
     async fn poll_for(&mut self, command: DiscoveryCommand) {
         if command == DiscoveryCommand::Fetch {
             self.subscription.request_full_snapshot();
@@ -168,7 +168,8 @@
         loop {
             if let Err(error) = self.poll().await {
                 self.record_failure(&error);
-                // All see a relay fail at once, so each goes on to another after a pause of its own.
+                // All client proxies see a relay fail at the same time, so each fails over to another relay
+                // after a backoff of its own.
                 if let Some(backoff) = self.failover_backoff(&error) {
                     sleep(backoff).await;
                     continue;
@@ -179,31 +180,31 @@
         }
     }
 
-    /// One call and what it tells.
+    /// Makes one poll and applies its response.
     async fn poll(&mut self) -> Result<(), PollError> {
         let polled_at = Instant::now();
         let DiscoveryResponse { connection: conn, headers, body } = loop {
             if self.sources.has_moved() {
-                // A link to where discovery no longer is is of no more use.
+                // The connection leads to the old address.
                 self.connection = None;
                 self.subscription.source_changed();
             }
             let (address, endpoint) = self.sources.next_source();
             let previous = self.last_address.replace(address);
-            // Relays tell the same discovery's list; an address that is named once more is the same
-            // discovery.
+            // Relays serve the list of the same discovery, so a change of relay does not start a new session.
+            // The same address configured again is the same discovery too.
             if self.sources.is_shared() && previous.is_some_and(|previous| previous != address) {
                 self.subscription.reset_versions();
             }
             let call = self.subscription.next_poll();
             let request = list_request(endpoint, &call.path());
-            // Guards against a dead or silent link: whatever fails, the next call begins with a new one.
+            // Taken for the duration of the poll: if it fails or times out, the connection is dropped and the
+            // next poll dials.
             let conn = self.connection.take();
             let dial = dial(address, DIAL_TIMEOUT);
             tokio::select! {
                 reply = timeout(call.timeout, exchange(conn, dial, request, MAX_LIST_BYTES)) => break reply??,
-                // Guards against waiting on where discovery no longer is: the same call is made at the new
-                // address.
+                // There will be no response from the old address; the same poll is repeated at the new one.
                 () = self.sources.wait_for_move() => {}
             }
         };
@@ -240,10 +241,11 @@
         Ok(())
     }
 
-    /// After how long the same is to be asked again, of another relay or of the same one, if that is left.
+    /// Backoff before the same poll is repeated at another relay, or at the same one after a local error;
+    /// `None` if no relay is left.
     fn failover_backoff(&mut self, error: &PollError) -> Option<Duration> {
-        // Guards against relays that are left alone for up to a minute because this process lacks a
-        // descriptor.
+        // A local error, such as a lack of descriptors, is not the relay's fault. Marking relays as failed
+        // for it could exclude them for up to a minute.
         if error.is_local() && !self.sources.is_shared() {
             return Some(MIN_POLL_INTERVAL);
         }
@@ -256,14 +258,15 @@
         }
     }
 
-    /// Leaves the list for the next process.
+    /// Stores the list for the next process.
     fn publish_list(&self, index: u64) {
         let (Some(state), Some(raw)) = (&self.state, &self.subscription.reader().raw_entries) else { return };
         let endpoints: Vec<Value> = raw.borrow().values().cloned().collect();
         state.publish_list(json!({"index": index, "snapshot": true, "endpoints": endpoints}));
     }
 
-    /// Says so once, however long it lasts; the pause before the next call, where nobody else says when.
+    /// Logs the first of several failures in a row. Returns the backoff before the next poll, for the mode in
+    /// which the balancer does not set one.
     fn record_failure(&mut self, error: &PollError) -> Duration {
         if !self.failing {
             self.failing = true;
--- a/client-proxy/src/discovery/source_selector.rs
+++ b/client-proxy/src/discovery/source_selector.rs
@@ -1,4 +1,4 @@
-//! Whom the calls go to: discovery where the platform says that it is, or one of several relays.
+//! Selects where polls go: the address of discovery that the platform configures, or one of several relays.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,20 +12,20 @@
 
 use crate::fleet_config::Relays;
 
-/// Whom the calls go to.
+/// Selects the address of the next poll.
 pub struct SourceSelector {
-    /// Where discovery is; another address after each reload that names one.
+    /// Address of discovery; updated by each reload that names one.
     address: watch::Receiver<SocketAddr>,
-    /// In its place, if there are any.
+    /// Relays that are polled instead, with the authority of the list.
     relays: Option<(Sources, HeaderValue)>,
     rng: Pcg32,
     started_at: Instant,
 }
 
 impl SourceSelector {
-    /// Discovery where `address` has it, or `relays`.
+    /// Polls `relays` if there are any, else the current value of `address`.
     pub fn new(address: watch::Receiver<SocketAddr>, relays: Option<Relays>, seed: u64) -> SourceSelector {
-        // Apart from the draws of the decisions and of discovery's own pauses.
+        // Independent of the generators of the balancer and of the poll backoff.
         let mut rng = Pcg32::seed_from_u64(!seed);
         let relays = relays.and_then(|Relays { near, far, authority }| {
             Some((Sources::new(&near, &far, &mut rng)?, HeaderValue::from_str(&authority).ok()?))
@@ -33,7 +33,7 @@
         SourceSelector { address, relays, rng, started_at: Instant::now() }
     }
 
-    /// Whether the next call goes elsewhere than the last one; asked before each.
+    /// Whether the next poll goes to another address than the last one. To be called before each poll.
     pub fn has_moved(&mut self) -> bool {
         match &mut self.relays {
             Some((sources, _)) => sources.fail_back(self.started_at.elapsed(), &mut self.rng),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Where the next call goes, and whose list it asks for.
+    /// Address of the next poll, and the authority to request.
     pub fn next_source(&mut self) -> (SocketAddr, HeaderValue) {
         let address = *self.address.borrow_and_update();
         match &self.relays {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Ready when discovery is said to be elsewhere; never, where relays are asked.
+    /// Completes when the address of discovery changes; never if relays are polled.
     pub async fn wait_for_move(&mut self) {
         if self.relays.is_some() || self.address.changed().await.is_err() {
             std::future::pending::<()>().await;
@@ -61,14 +61,15 @@
         self.address.mark_changed();
     }
 
-    /// The last call was answered.
+    /// Records that the last poll succeeded.
     pub fn record_success(&mut self) {
         if let Some((sources, _)) = &mut self.relays {
             sources.on_response();
         }
     }
 
-    /// The last call failed: after how long the same is to be asked of another relay, if one is left.
+    /// Records that the last poll failed. Returns the backoff before it is repeated at another relay, if one
+    /// is left.
     pub fn record_failure(&mut self) -> Option<Duration> {
         let (sources, _) = self.relays.as_mut()?;
         match sources.on_failure(self.started_at.elapsed(), &mut self.rng) {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Whether all ask the same discovery, so that calls queue there if they have to be made one by one.
+    /// Whether all client proxies poll the same discovery, where polls may have to queue.
     pub fn is_shared(&self) -> bool {
         self.relays.is_none()
     }
--- a/client-proxy/src/driver.rs
+++ b/client-proxy/src/driver.rs
@@ -1,5 +1,5 @@
-//! Drives the decisions: sole owner of the balancer, its ids, clock and wake timers. What happens becomes
-//! events, and actions are carried out; nothing is decided here.
+//! Connects the balancer to sockets and timers. The driver owns the balancer, assigns request IDs, turns what
+//! happens into events and carries out the balancer's actions. It takes no decisions itself.
 
 mod actions;
 mod metrics;
@@ -30,29 +30,29 @@
 use crate::process_state::{ProcessState, State};
 use crate::upstream_request::UpstreamRequest;
 
-/// What the decisions want of discovery.
+/// What the balancer asks of discovery.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DiscoveryCommand {
-    /// Changes from now on.
+    /// Report changes from now on.
     Watch,
-    /// The whole list once.
+    /// Fetch the full endpoint list once.
     Fetch,
 }
 
 struct PendingRequest {
     request: Rc<UpstreamRequest>,
-    /// Waits for a body that goes on as it comes.
+    /// Waits for the end of a streamed request body.
     _body_task: Option<AbortOnDropHandle<()>>,
-    /// There until the final answer is out or the client has left.
+    /// Present until the final response was sent or the client has disconnected.
     reply: Option<oneshot::Sender<FinalOutcome>>,
-    /// `None` once it has ended.
+    /// `None` once the attempt has ended.
     attempts: Vec<Option<InFlightAttempt>>,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct InFlightAttempt {
     sent: Instant,
-    /// Dropping it calls the attempt off.
+    /// Dropping it cancels the attempt.
     _cancel: oneshot::Sender<()>,
 }
 
@@ -66,7 +66,7 @@
     balancer: Balancer,
     requests: HashMap<RequestId, PendingRequest>,
     next_id: u64,
-    /// Events that came up while another was handled.
+    /// Events that occurred while another one was handled.
     pending_events: VecDeque<Event>,
 }
 
@@ -77,26 +77,26 @@
     endpoints: Rc<EndpointPool>,
     commands: mpsc::UnboundedSender<DiscoveryCommand>,
     ids: Rc<EndpointIds>,
-    /// What operators have said of endpoints, for the next process too.
+    /// Operator overrides, which are also kept for the next process.
     process_state: Rc<ProcessState>,
-    /// The part of it that the decisions were told.
+    /// The state whose operator overrides the balancer has already received.
     applied_state: RefCell<State>,
-    /// How long an endpoint is cold at the most.
+    /// Longest time for which an endpoint can be in slow start.
     warm_up: Millis,
-    /// Behind the numbers of the settings.
+    /// Names behind the numbers in the settings.
     names: Names,
-    /// Some zones are nearer than others.
+    /// Whether the settings define locality, so that some zones are nearer than others.
     locality: bool,
     outcomes: RefCell<Vec<OutcomeCounts>>,
-    /// Requests that were taken and have not ended.
+    /// Requests that were completely received and have not ended.
     requests_in_progress: Cell<usize>,
 }
 
 impl Driver {
-    /// A driver whose wishes of discovery come out of `asks`.
+    /// A driver that sends the balancer's commands for discovery to `commands`.
     ///
     /// # Errors
-    /// When the decisions cannot work with the settings.
+    /// If the balancer rejects the settings.
     pub fn new(
         settings: Settings,
         names: Names,
@@ -129,25 +129,25 @@
         Ok(Rc::new(driver))
     }
 
-    /// The clock of the decisions.
+    /// The clock whose time the balancer is given.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The numbers of all endpoints that the decisions have not forgotten.
+    /// The IDs of all endpoints that the balancer still tracks.
     pub fn ids(&self) -> Rc<EndpointIds> {
         Rc::clone(&self.ids)
     }
 
-    /// Passes on news of the list of endpoints.
+    /// Passes an update of the endpoint list to the balancer.
     pub fn apply_endpoint_update(self: &Rc<Self>, update: EndpointUpdate) {
         self.handle_event(Event::EndpointUpdate(update));
     }
 
-    /// An operator takes an endpoint out. It is durable before it is done.
+    /// Disables an endpoint on behalf of an operator. The override is durable before it takes effect.
     ///
     /// # Errors
-    /// What to tell the operator; then nothing has changed.
+    /// The message for the operator; nothing has changed then.
     pub async fn detach(self: &Rc<Self>, name: &str) -> Result<(), String> {
         let disabled = name.to_owned();
         self.override_endpoint(name, move |state| {
@@ -158,16 +158,17 @@
         .await
     }
 
-    /// An operator puts an endpoint back. One that is not out stays as it is.
+    /// Enables an endpoint that an operator has disabled. Does nothing if it is not disabled.
     ///
     /// # Errors
-    /// What to tell the operator; then nothing has changed.
+    /// The message for the operator; nothing has changed then.
     pub async fn attach(self: &Rc<Self>, name: &str) -> Result<(), String> {
         let (clock, warm_up, enabled) = (self.clock, self.warm_up, name.to_owned());
         self.override_endpoint(name, move |state| {
-            // Here and not at the call, which may have waited for slow writes before this one.
+            // Read here and not when the command arrived: this change may have waited for slow writes before
+            // it.
             let now = clock.now();
-            // What came back so long ago is warm by now.
+            // Endpoints that were enabled longer ago than this have finished their slow start.
             state.forget_enabled_before(now - warm_up);
             if state.disabled.remove(&enabled) {
                 state.enabled_at.insert(&enabled, now);
@@ -189,7 +190,7 @@
         Ok(())
     }
 
-    /// Tells the decisions what operators have said since they were told last.
+    /// Passes to the balancer the operator overrides that have changed since the last call.
     pub fn apply_operator_overrides(self: &Rc<Self>) {
         let now = self.process_state.state();
         let applied_state = self.applied_state.replace(now.clone());
@@ -202,7 +203,8 @@
         }
     }
 
-    /// Takes a request in. Its answer comes out of the ticket; dropping that says that the client has left.
+    /// Submits a request. The ticket yields its final response; dropping the ticket signals that the client
+    /// has disconnected.
     pub fn submit(self: &Rc<Self>, metadata: RequestMetadata, request: UpstreamRequest) -> ResponseTicket {
         let (reply, outcome) = oneshot::channel();
         let (request, is_counted) = (Rc::new(request), Rc::new(Cell::new(false)));
@@ -235,14 +237,15 @@
         ResponseTicket { id, request, outcome, recorder: Some(recorder), driver: Rc::clone(self) }
     }
 
-    /// A request is taken with its last byte.
+    /// A request counts as accepted once its last byte was received.
     fn count_accepted(&self, is_counted: &Cell<bool>) {
         if !is_counted.replace(true) {
             self.requests_in_progress.set(self.requests_in_progress.get() + 1);
         }
     }
 
-    /// Tells the decisions when the last byte of a body has come, from which the client's time counts.
+    /// Notifies the balancer when the last byte of a streamed body was received: the client's timeout counts
+    /// from there.
     fn wait_for_body(
         self: &Rc<Self>,
         id: RequestId,
@@ -262,7 +265,7 @@
         }))
     }
 
-    /// The client has left, or has been answered without the decisions.
+    /// The client has disconnected, or got a response that did not come from the balancer.
     fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let was_waiting =
             self.state.borrow_mut().requests.get_mut(&id).and_then(|pending| pending.reply.take()).is_some();
@@ -275,12 +278,14 @@
         let event = {
             let mut state = self.state.borrow_mut();
             let Some(pending) = state.requests.get_mut(&id) else { return };
-            // Guards against an end that crosses a cancel: each attempt has exactly one.
+            // The attempt may have been cancelled just as it ended; the balancer expects exactly one end of
+            // each attempt.
             let Some(in_flight) = pending.attempts.get_mut(attempt).and_then(Option::take) else { return };
             if let Some(served) = result.served
                 && let Some(reply) = pending.reply.take()
             {
-                // One who has just left gets nothing; the decisions learn of the outcome all the same.
+                // Fails if the client has just disconnected; the balancer is notified of the outcome all the
+                // same.
                 let _ = reply.send(FinalOutcome::Served(served));
             }
             let latency = result.service_time.unwrap_or_else(|| in_flight.sent.elapsed());
@@ -297,7 +302,8 @@
         self.handle_event(event);
     }
 
-    /// Hands an event to the decisions and carries out what they want, with all that follows at once.
+    /// Passes an event to the balancer and carries out the resulting actions, with all events that these
+    /// cause at once.
     fn handle_event(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -319,7 +325,7 @@
     }
 }
 
-/// Drops a request once nothing more can be said of it.
+/// Removes a request that has its final response and no attempt in flight.
 fn remove_if_finished(state: &mut DriverState, id: RequestId) {
     if state.requests.get(&id).is_some_and(PendingRequest::is_finished) {
         state.requests.remove(&id);
--- a/client-proxy/src/driver/actions.rs
+++ b/client-proxy/src/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decisions want done, and reports how attempts ended.
+//! Carries out the balancer's actions and reports how attempts ended.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -46,11 +46,12 @@
             }
             Action::CloseIdleConnections { endpoint } => self.endpoints.close_idle(endpoint),
             Action::ReleaseEndpointId { endpoint } => self.ids.release(endpoint),
-            // The receiver lives as long as the program; where it has gone, so has the program.
+            // The receiver lives as long as the program, so a failed send means that the program is exiting.
             Action::Watch => drop(self.commands.send(DiscoveryCommand::Watch)),
             Action::Fetch => drop(self.commands.send(DiscoveryCommand::Fetch)),
             Action::Log(line) => eprintln!("client-proxy: {line}"),
-            // The decisions neither probe nor talk to each other; where that changes it must be seen.
+            // The balancer does not use these actions at present. Should that change, the log has to show
+            // that they are missing here.
             Action::Probe { .. } | Action::SendToPeer { .. } => {
                 eprintln!("client-proxy: probes and messages to peers are not carried out");
             }
@@ -67,7 +68,8 @@
         let Some(pending) = state.requests.get_mut(&id) else { return };
         let (attempt, sent) = (pending.attempts.len(), Instant::now());
         if pending.reply.is_none() || pending.request.deadline().is_some_and(|deadline| sent >= deadline) {
-            // Guards against an attempt for one who has left or whose time is up.
+            // The client has disconnected or its deadline has passed since the balancer chose this endpoint:
+            // sending the request now would be wasted work.
             pending.attempts.push(None);
             let request_ended = pending.reply.is_none();
             let load_report = LoadReport::default();
@@ -100,7 +102,7 @@
 
 fn send_outcome(state: &mut DriverState, id: RequestId, outcome: FinalOutcome) {
     if let Some(reply) = state.requests.get_mut(&id).and_then(|pending| pending.reply.take()) {
-        // One who has just left gets nothing.
+        // Fails if the client has just disconnected.
         let _ = reply.send(outcome);
     }
     remove_if_finished(state, id);
--- a/client-proxy/src/driver/metrics.rs
+++ b/client-proxy/src/driver/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: how requests ended, and the figures for operators.
+//! Request metrics, and their form for operators.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 
 use super::Driver;
 
-/// How the requests of one class ended.
+/// Outcomes of the requests of one class.
 #[derive(Clone, Copy, Default)]
 pub(super) struct OutcomeCounts {
     pub(super) served: u64,
@@ -18,7 +18,7 @@
 }
 
 impl Driver {
-    /// The figures for operators, as one line of JSON. Counts are from the start of the process.
+    /// All metrics as one line of JSON. Counters start with the process.
     pub fn metrics_json(&self) -> Value {
         let by_class = |count: fn(&OutcomeCounts) -> u64| -> Value {
             let outcomes = self.outcomes.borrow();
@@ -52,7 +52,7 @@
         metrics
     }
 
-    /// A zone that gets nothing but trials, for operators.
+    /// An ejected zone, which gets only trial requests, in the form for operators.
     fn ejected_zone_json(&self, ejected: &EjectedZone) -> Value {
         let zone = self.names.zones.get(ejected.zone).map_or("unknown", String::as_str);
         let reason = match (ejected.own_network_suspected, ejected.unresponsive) {
@@ -64,7 +64,7 @@
     }
 }
 
-/// A request that was taken and has not ended; it has once this is dropped.
+/// Records the outcome of a request and counts it as in progress until this is dropped.
 pub struct OutcomeRecorder {
     pub(super) class: usize,
     pub(super) is_counted: Rc<Cell<bool>>,
@@ -78,8 +78,8 @@
         }
     }
 
-    /// An answer that is passed on as it comes was counted as served when it was begun; it did not come
-    /// whole.
+    /// Corrects the outcome of a streamed response that was truncated: it was counted as served when its
+    /// forwarding began.
     pub fn record_truncated(&self) {
         self.record(|outcomes| {
             outcomes.served -= 1;
@@ -90,7 +90,7 @@
 
 impl Drop for OutcomeRecorder {
     fn drop(&mut self) {
-        // Whatever still waits for the body counts no more.
+        // From now on a task that still waits for the body does not count the request any more.
         if self.is_counted.replace(true) {
             self.driver.requests_in_progress.set(self.driver.requests_in_progress.get() - 1);
         }
--- a/client-proxy/src/driver/response_ticket.rs
+++ b/client-proxy/src/driver/response_ticket.rs
@@ -1,4 +1,4 @@
-//! The final response to a request, as its client connection waits for it.
+//! The client connection's handle for the final response to its request.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,42 +13,44 @@
 use crate::response_forwarding::{PendingResponse, ResponseForwarder};
 use crate::upstream_request::UpstreamRequest;
 
-/// A final answer.
+/// How a request ended.
 pub enum FinalOutcome {
-    /// An endpoint's own.
+    /// Response of an endpoint.
     Served(Served),
-    /// Trying again does no harm; how long the client ought to keep away.
+    /// Rejected with no effect, so a retry is safe. Holds the time after which the client should retry.
     Rejected(Option<Millis>),
-    /// Promises nothing.
+    /// Failed; the request may or may not have taken effect.
     Failed,
 }
 
-/// The final answer to a request, and what the end of the request is up to from here on.
+/// The final response to a request, and what its connection needs to forward it.
 pub struct FinalResponse {
-    /// All of it, or what there is to begin with.
+    /// The complete response, or the beginning of a streamed one.
     pub outcome: FinalOutcome,
-    /// Goes when the answer has gone out.
+    /// Dropped when the response has been sent.
     pub recorder: Option<OutcomeRecorder>,
-    /// For an answer that goes on as it comes.
+    /// Enforces the deadline of a streamed response.
     pub forwarder: ResponseForwarder,
 }
 
-/// The client's side of a request that was taken in.
+/// The client connection's handle for a submitted request.
 pub struct ResponseTicket {
     pub(super) id: RequestId,
     pub(super) request: Rc<UpstreamRequest>,
     pub(super) outcome: oneshot::Receiver<FinalOutcome>,
-    /// There until the final answer is.
+    /// Taken when the final response is returned.
     pub(super) recorder: Option<OutcomeRecorder>,
     pub(super) driver: Rc<Driver>,
 }
 
 impl ResponseTicket {
-    /// The final answer; a failure if the decisions have none `slack` after the client's time is up for them.
-    /// With it comes what the rest of the request's end is up to: an answer may go on for long.
+    /// Waits for the final response, which is a failure if there is none `slack` after the deadline that the
+    /// balancer was given. The result includes the forwarder that has to watch the rest of a streamed
+    /// response.
     ///
     /// # Errors
-    /// When the request's body did not come whole: then there is no request to answer.
+    /// If the request body ends early or too slowly, or the client resets the connection: then nobody waits
+    /// for a response.
     pub async fn final_response(mut self, slack: Duration) -> Result<FinalResponse, BodyError> {
         let request = Rc::clone(&self.request);
         let pending_response = PendingResponse::new(Rc::clone(&request), slack);
@@ -65,7 +67,7 @@
             match request.client_hung_up().await {
                 HangUp::Reset => BodyError::Incomplete,
                 HangUp::Closed => {
-                    // It may still read, so what is out may still be answered.
+                    // The client may still read, so attempts in flight may still get their response to it.
                     self.driver.handle_event(Event::ClientHalfClosed { id: self.id });
                     std::future::pending().await
                 }
@@ -81,7 +83,7 @@
             }
             error = disconnected => return Err(error),
         };
-        // The one place that counts how requests ended: every final answer to a client comes out here.
+        // The only place that counts outcomes: every final response to a client passes here.
         let recorder = self.recorder.take();
         if let Some(recorder) = &recorder {
             recorder.record(|counts| match &outcome {
--- a/client-proxy/src/endpoint_pool.rs
+++ b/client-proxy/src/endpoint_pool.rs
@@ -1,5 +1,5 @@
-//! All endpoints that discovery has named: where they are, and the connections to them. One request a
-//! connection at a time.
+//! The endpoints that discovery has listed: their addresses and the connections to them. A connection carries
+//! one request at a time.
 
 mod attempt;
 mod connection;
@@ -21,14 +21,15 @@
 use crate::memory_budget::MemoryBudget;
 use crate::socket_budget::SocketBudget;
 
-/// What a connection's buffer holds at most, in each direction.
+/// Size limit of a connection's buffer in each direction.
 pub const BUFFER_SIZE: usize = 16 * 1024;
-/// An endpoint that takes or gives nothing for so long, where it has begun, has ended for us.
+/// How long an endpoint may accept or send nothing in the middle of a request or response before the attempt
+/// or response is given up.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// An endpoint closes a connection that has been idle for the time in the settings; ours go by this part of
-/// it.
+/// Endpoints close connections that have been idle for `conn_idle`. The pool closes them after this fraction
+/// of it, so that no request is sent on one that is just being closed.
 const IDLE_TTL_SHARE: f64 = 0.8;
-/// How often idle connections are looked over.
+/// How often idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 struct KnownEndpoint {
@@ -36,21 +37,21 @@
     idle: Vec<IdleConnection>,
 }
 
-/// All endpoints that discovery has named, and the connections to them that are idle.
+/// The endpoints that discovery has listed, and the idle connections to them.
 pub struct EndpointPool {
     sockets: Rc<SocketBudget>,
     endpoints: RefCell<HashMap<EndpointId, KnownEndpoint>>,
     max_idle: Duration,
     dial_timeout: Duration,
-    /// Attempts whose last byte was written.
+    /// Attempts of which the last byte was written.
     fully_written: Rc<Cell<u64>>,
-    /// For answers.
+    /// Budget for response bodies.
     response_memory: Rc<MemoryBudget>,
 }
 
 impl EndpointPool {
-    /// No endpoints yet. `conn_idle` is when endpoints close what is idle, `dial_timeout` when a dial has
-    /// failed.
+    /// A pool without endpoints. Endpoints close connections that have been idle for `conn_idle` ms; a dial
+    /// fails after `dial_timeout` ms.
     pub fn new(
         sockets: Rc<SocketBudget>,
         response_memory: Rc<MemoryBudget>,
@@ -67,7 +68,7 @@
         })
     }
 
-    /// How many attempts were written to their last byte.
+    /// Number of attempts that were written to their last byte.
     pub fn fully_written(&self) -> u64 {
         self.fully_written.get()
     }
@@ -79,14 +80,15 @@
         }
     }
 
-    /// Closes the connections to an endpoint that have been idle since before `instant`.
+    /// Closes the connections to an endpoint that became idle before `instant`.
     fn close_idle_since_before(&self, endpoint: EndpointId, instant: Instant) {
         if let Some(known) = self.endpoints.borrow_mut().get_mut(&endpoint) {
             known.idle.retain(|idle| idle.since >= instant);
         }
     }
 
-    /// Frees a place in the budget of sockets by closing whichever connection has been idle for longest.
+    /// Frees a slot of the socket budget by closing the connection that has been idle for longest. Returns
+    /// whether there was one.
     pub fn evict_idle(&self) -> bool {
         let mut endpoints = self.endpoints.borrow_mut();
         let longest_idle = endpoints
@@ -96,7 +98,8 @@
         longest_idle.map(|known| known.idle.remove(0)).is_some()
     }
 
-    /// Closes what has been idle for long or was closed by its endpoint, for as long as the program runs.
+    /// Closes connections that have been idle for too long or were closed by their endpoint. Runs for as long
+    /// as the program.
     pub async fn sweep(self: Rc<Self>) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -118,7 +121,7 @@
         let mut endpoints = self.endpoints.borrow_mut();
         let known =
             endpoints.get_mut(&endpoint).filter(|known| known.location == location && location.serving);
-        // Guards against a connection on which half a request was written.
+        // A partially written request on the connection would corrupt the next one.
         if let Some(known) = known.filter(|_| !conn.sender.is_closed() && !conn.stream.is_partially_written())
         {
             known.idle.push(IdleConnection { conn, since: Instant::now() });
@@ -127,8 +130,8 @@
 }
 
 impl EndpointLocations for EndpointPool {
-    /// Connections to an earlier process or address, or to an endpoint that wants nothing new, are of no more
-    /// use.
+    /// When an endpoint's process or address changes, or it stops accepting requests, its idle connections
+    /// are of no further use.
     fn set_location(&self, endpoint: EndpointId, location: EndpointLocation) {
         let mut endpoints = self.endpoints.borrow_mut();
         let known = endpoints.entry(endpoint).or_insert_with(|| KnownEndpoint { location, idle: Vec::new() });
@@ -146,7 +149,7 @@
     }
 }
 
-/// Milliseconds of the settings as a time; absurdly long ones are cut to a day.
+/// Converts milliseconds from the settings; capped at one day.
 pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.clamp(0.0, 86_400_000.0) / 1000.0)
 }
--- a/client-proxy/src/endpoint_pool/attempt.rs
+++ b/client-proxy/src/endpoint_pool/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: at most one copy of a request is written to an endpoint, and its response is read.
+//! One attempt: writes at most one copy of a request to an endpoint and reads the response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,30 +21,31 @@
 use crate::request_body::MAX_BUFFERED_BODY;
 use crate::upstream_request::{AttemptBody, UpstreamRequest};
 
-/// How long an answer of unknown length is looked at before its first bytes are passed on: most are short.
+/// How long to wait for the end of a response of unknown length before its first bytes are forwarded. Most
+/// such responses are short and end within this time.
 pub(super) const LENGTH_PROBE_TIME: Duration = Duration::from_millis(20);
 
-/// A connection that had been idle for so long and then brings nothing may have been forgotten by its
-/// endpoint, and those that have been idle for as long with it. In shorter times endpoints forget none, and
-/// faults have other causes.
+/// If a connection that was idle for this long yields no response byte, its endpoint may have silently
+/// dropped it, together with those that have been idle for at least as long. Endpoints keep connections for
+/// at least this time, so failures after shorter idle times have other causes.
 pub(super) const SUSPECT_IDLE_TIME: Duration = Duration::from_millis(200);
 
-/// How an attempt ended, and what came with it.
+/// How an attempt ended, and what it returned.
 pub struct AttemptResult {
-    /// By the evidence.
+    /// Outcome by what is known of the attempt.
     pub outcome: Outcome,
-    /// What the endpoint said of its load.
+    /// Load that the endpoint reported.
     pub report: LoadReport,
-    /// The answer, exactly where the outcome is [`Outcome::Served`].
+    /// The response; present exactly if the outcome is [`Outcome::Served`].
     pub served: Option<Served>,
-    /// The request's body cannot be sent again.
+    /// The request body cannot be sent again.
     pub is_body_spent: bool,
-    /// How long the endpoint had the request, where that is not since the attempt was begun.
+    /// How long the endpoint had the complete request, if that differs from the time since the attempt began.
     pub service_time: Option<Duration>,
 }
 
 impl AttemptResult {
-    /// An end without an answer.
+    /// A result without a response.
     pub fn without_response(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -57,8 +58,7 @@
 }
 
 impl EndpointPool {
-    /// One attempt: at most one copy of the order is written to `endpoint`. Gives up when the client's time
-    /// is up, or at `until`.
+    /// Sends at most one copy of the request to `endpoint`. Gives up at the client's deadline or at `until`.
     pub async fn attempt(
         self: &Rc<Self>,
         endpoint: EndpointId,
@@ -84,14 +84,14 @@
         };
         let (connected, idle_for) = (Instant::now(), conn.idle_for);
         let remaining_ms = request.remaining_ms(until);
-        // Guards against a drain or restart that came to be known while the dial was under way, and against
-        // an attempt that the dial has left less than a millisecond.
+        // The endpoint may have been found to drain or restart during the dial, and the dial may have left
+        // less than a millisecond.
         if self.serving_location(endpoint) != Some(location) || remaining_ms == 0 {
             return AttemptResult::without_response(Outcome::NeverSent);
         }
         let stream = Rc::clone(&conn.stream);
-        // Guards against an attempt for a client that left, or whose time ended, at any moment before the
-        // first byte is written: during the dial, or while the connection's task waits for its turn.
+        // Checked just before the first byte is written: the client may disconnect, or its deadline pass,
+        // during the dial or while the connection's task waits to be scheduled.
         let pending = Rc::clone(request);
         stream.begin_request(&self.fully_written, Box::new(move || pending.may_begin()));
         stream.reset_first_byte();
@@ -107,13 +107,14 @@
             biased;
             exchanged = self.exchange(&mut conn, request, remaining_ms) => Some(exchanged),
             _ = deadline => None,
-            // Guards against an endpoint that takes none of a body whose client has no deadline yet.
+            // Without a complete body the client has no deadline yet, so an endpoint that stops reading it
+            // would stall the attempt forever.
             _ = stream.wait_for_write_stall(STALL_TIMEOUT), if request.streamed_body().is_some() => None,
         };
         let never_sent = stream.is_partially_written();
         let mut result = match exchanged {
-            // An answer in the middle of the request: the rest of it is not sent, and it never ran if so it
-            // says.
+            // The endpoint may respond in the middle of the request. The rest is not sent then, and the
+            // request had no effect if the response says so.
             Some(Ok((response, body))) => {
                 let result = match (classify_response(&response), body) {
                     (Outcome::Served, ReadBody::Complete(body, permit)) => {
@@ -135,9 +136,9 @@
                 AttemptResult { report: report.map(parse_load_report).unwrap_or_default(), ..result }
             }
             _ if stream.is_withheld() => AttemptResult::without_response(Outcome::NeverSent),
-            // The client's own doing says nothing of the endpoint.
+            // The request body failed, which is the client's fault and not the endpoint's.
             Some(Err(error)) if error.is_user() => AttemptResult::without_response(Outcome::NeverSent),
-            // The last byte was not written, so no endpoint can have begun.
+            // The last byte was not written, so the endpoint cannot have begun to process the request.
             Some(Err(_)) | None if never_sent => AttemptResult::without_response(Outcome::ConnectFailed),
             Some(Err(_)) => AttemptResult::without_response(Outcome::Reset),
             None => AttemptResult::without_response(Outcome::TimedOut),
@@ -155,8 +156,7 @@
         result
     }
 
-    /// Writes the order and reads the answer, or what there is to begin with of one that is passed on as it
-    /// comes.
+    /// Writes the request and reads the complete response, or the beginning of one that will be streamed.
     pub(super) async fn exchange(
         &self,
         conn: &mut PooledConnection,
--- a/client-proxy/src/endpoint_pool/connection.rs
+++ b/client-proxy/src/endpoint_pool/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: reused while they are idle, or newly established.
+//! Connections to endpoints: reuses idle ones and dials new ones.
 
 use std::io::{self, ErrorKind};
 use std::rc::Rc;
@@ -18,12 +18,12 @@
 use crate::socket_budget::Side;
 use crate::upstream_request::AttemptBody;
 
-/// An open connection; closed when dropped.
+/// An open connection; closed on drop.
 pub(super) struct PooledConnection {
     pub(super) sender: SendRequest<AttemptBody>,
     pub(super) stream: Rc<MonitoredStream>,
     pub(super) task: AbortHandle,
-    /// How long it had been idle when it was taken up; zero for a new one.
+    /// How long the connection had been idle when it was reused; zero for a new one.
     pub(super) idle_for: Duration,
 }
 
@@ -39,8 +39,9 @@
 }
 
 impl EndpointPool {
-    /// An idle connection that is sound, or a new one. Once one has failed the same request that had been
-    /// idle for `max_idle`, another that has been idle for as long is taken only where none can be made.
+    /// Reuses a healthy idle connection or dials. If an attempt of the same request has failed on a
+    /// connection that had been idle for `suspect_idle_time`, one that has been idle for as long is reused
+    /// only if the dial fails.
     pub(super) async fn acquire_connection(
         &self,
         endpoint: EndpointId,
@@ -59,7 +60,7 @@
         dialed
     }
 
-    /// An idle connection that is sound and has not been idle for `max_idle`.
+    /// Takes a healthy connection that has been idle for less than `suspect_idle_time`.
     pub(super) async fn reuse(
         &self,
         endpoint: EndpointId,
@@ -67,7 +68,7 @@
     ) -> Option<PooledConnection> {
         let max_idle = suspect_idle_time.map_or(self.max_idle, |suspect| suspect.min(self.max_idle));
         while let Some(mut idle) = self.pop_idle(endpoint, max_idle) {
-            // Nothing was written to it yet: taking another one is no repeat.
+            // Nothing was written to it yet, so using another one cannot duplicate the request.
             if idle.conn.stream.is_quiet() && idle.conn.sender.ready().await.is_ok() {
                 idle.conn.idle_for = idle.since.elapsed();
                 return Some(idle.conn);
@@ -76,7 +77,7 @@
         None
     }
 
-    /// A new connection.
+    /// Opens a connection.
     pub(super) async fn dial(
         &self,
         location: EndpointLocation,
@@ -85,7 +86,7 @@
         let slot = loop {
             match self.sockets.try_acquire(Side::Upstream) {
                 Some(slot) => break slot,
-                // The place comes free when the closed connection's task has ended.
+                // The slot is released when the task of the closed connection has ended.
                 None if self.evict_idle() => tokio::task::yield_now().await,
                 None => return Err(Outcome::NeverSent),
             }
@@ -102,21 +103,21 @@
         let io = TokioIo::new(Io(Rc::clone(&stream)));
         let handshake = Builder::new().max_buf_size(BUFFER_SIZE).handshake(io).await;
         let (sender, connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
-        // How the connection ends is seen by the attempt on it; an idle one has nobody to tell.
+        // The attempt on the connection gets its errors; those of an idle one concern nobody.
         let task = spawn_local(async move { drop(connection.await) }).abort_handle();
         Ok(PooledConnection { sender, stream, task, idle_for: Duration::ZERO })
     }
 
-    /// The one that became idle last, unless it has been for `max_idle`.
+    /// The connection that became idle last, if it has been idle for less than `max_idle`.
     pub(super) fn pop_idle(&self, endpoint: EndpointId, max_idle: Duration) -> Option<IdleConnection> {
         let mut endpoints = self.endpoints.borrow_mut();
         endpoints.get_mut(&endpoint)?.idle.pop_if(|idle| idle.since.elapsed() < max_idle)
     }
 }
 
-/// The outcome of a dial that failed. Only some errors speak of the endpoint or the way to it; all others, as
-/// where the system lacks a port, a descriptor, memory or a network, are no verdict on it: nothing was sent,
-/// and the decisions hold the request.
+/// Outcome of a failed dial. Only some errors say something about the endpoint or the path to it. Others,
+/// such as a lack of ports, descriptors, memory or a network on this machine, do not: nothing was sent, and
+/// the balancer keeps the request.
 pub(super) fn dial_outcome(error: &io::Error) -> Outcome {
     match error.kind() {
         _ if is_local_error(error) => Outcome::NeverSent,
--- a/client-proxy/src/endpoint_pool/response.rs
+++ b/client-proxy/src/endpoint_pool/response.rs
@@ -1,4 +1,4 @@
-//! Responses of endpoints: what they say, and their bodies on the way to the client.
+//! Responses of endpoints: their outcome, load report and body.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -22,33 +22,33 @@
 
 pub(super) static X_PRESSURE: HeaderName = HeaderName::from_static("x-pressure");
 
-/// An endpoint's 200.
+/// Response 200 of an endpoint.
 pub struct Served {
-    /// As the endpoint sends it.
+    /// Its body.
     pub body: UpstreamBody,
-    /// What it is, if the endpoint said so.
+    /// The endpoint's `Content-Type`, if any.
     pub content_type: Option<HeaderValue>,
-    /// For its body.
+    /// Memory reserved for the body.
     pub memory: Option<MemoryPermit>,
 }
 
-/// The body of an endpoint's answer.
+/// Body of an endpoint's response.
 pub enum UpstreamBody {
-    /// All of it.
+    /// The complete body.
     Buffered(Bytes),
-    /// It goes on as it comes.
+    /// A body that is forwarded while it is received.
     Streamed(Box<StreamedResponseBody>),
 }
 
-/// An answer that is passed on as it comes.
+/// Body of a response that is forwarded while it is received.
 pub struct StreamedResponseBody {
     pub(super) prefix: Bytes,
     pub(super) body: Incoming,
-    /// Where its connection goes back to once it has come whole.
+    /// Returns the connection to the pool once the body is complete.
     pub(super) origin: Option<ConnectionOrigin>,
 }
 
-/// Whose connection it is that an answer comes over.
+/// A connection and the place in the pool that it belongs to.
 pub struct ConnectionOrigin {
     pub(super) conn: PooledConnection,
     pub(super) pool: Rc<EndpointPool>,
@@ -56,29 +56,29 @@
     pub(super) location: EndpointLocation,
 }
 
-/// An answer that did not come whole.
+/// Why a response was truncated.
 #[derive(Debug, Error)]
 pub enum ResponseError {
-    /// As the connection has it.
+    /// The connection failed or the response is malformed.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// Its endpoint gives nothing more.
+    /// The endpoint stalled.
     #[error("the rest of the answer did not come in time")]
     Stalled,
 }
 
 impl StreamedResponseBody {
-    /// What is still to come in `body`, after `first`.
+    /// `prefix` has already been read; the rest is in `body`.
     pub fn new(prefix: Bytes, body: Incoming, origin: Option<ConnectionOrigin>) -> StreamedResponseBody {
         StreamedResponseBody { prefix, body, origin }
     }
 
-    /// Whether all of it has been given.
+    /// Whether the complete body has been returned.
     pub fn is_end_stream(&self) -> bool {
         self.prefix.is_empty() && self.body.is_end_stream()
     }
 
-    /// What is still to come.
+    /// Length of what is still to be returned.
     pub fn size_hint(&self) -> SizeHint {
         let remaining = self.body.size_hint().exact();
         remaining.map_or_else(SizeHint::default, |remaining| {
@@ -86,7 +86,7 @@
         })
     }
 
-    /// The next part of it.
+    /// The next chunk.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, ResponseError>>> {
         if !self.prefix.is_empty() {
             return Poll::Ready(Some(Ok(next_chunk(&mut self.prefix))));
@@ -118,13 +118,14 @@
     }
 }
 
-/// What was read of an answer.
+/// What has been read of a response body.
 pub(super) enum ReadBody {
     Complete(Bytes, Option<MemoryPermit>),
     Partial(Bytes, Incoming, Option<MemoryPermit>),
 }
 
-/// The outcome by what came back. Only a turned-away answer proves that nothing ran.
+/// Outcome of an attempt by its response. Only a rejection that the endpoint marks as such proves that the
+/// request had no effect.
 pub(super) fn classify_response(response: &Response<()>) -> Outcome {
     let turned_away = response.headers().get(&X_TURNED_AWAY).is_some_and(|value| value == "1");
     match response.status() {
@@ -146,7 +147,8 @@
     }
 }
 
-/// A load report such as `inflight=7,queue=2,util=0.61`; what is unknown or no number is skipped.
+/// Parses a load report such as `inflight=7,queue=2,util=0.61`. Unknown fields and values that are not
+/// numbers are skipped.
 pub(super) fn parse_load_report(text: &str) -> LoadReport {
     let mut metrics = Metrics::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
--- a/client-proxy/src/fleet_config.rs
+++ b/client-proxy/src/fleet_config.rs
@@ -1,6 +1,6 @@
-//! The second configuration file, TOML, which `$GW_FLEET` names: one table for each part that the platform's
-//! own file does not know. A part whose table is absent is off; without the variable all are, and no file is
-//! read.
+//! The second configuration file, TOML, which `$GW_FLEET` names: one table for each feature that the
+//! platform's own file has no settings for. A feature whose table is absent is off. Without the variable all
+//! of them are off and no file is read.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,44 +13,46 @@
 use crate::config_error::ConfigError;
 use crate::names::Names;
 
-/// The tables.
+/// The tables of the file.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
-    /// Which zones are near each other.
+    /// `[zones]`: which zones are near each other.
     zones: Option<Zones>,
-    /// Relays that stand between discovery and this client proxy.
+    /// `[discovery]`: relays between discovery and this client proxy.
     discovery: Option<Relays>,
 }
 
-/// `[discovery]`: relays are asked in place of the address that the platform names. See docs/relays.md.
+/// `[discovery]`: relays that are polled instead of the address that the platform configures. See
+/// docs/relays.md.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Relays {
-    /// Asked first, one after another.
+    /// Relays to try first, one after another.
     pub near: Vec<SocketAddr>,
-    /// Asked where no near one answers.
+    /// Relays to try if no near one responds.
     #[serde(default)]
     pub far: Vec<SocketAddr>,
-    /// Whose list is asked for: the authority of each call.
+    /// Authority of each poll; selects the endpoint list.
     pub authority: String,
 }
 
-/// `[zones]`.
+/// `[zones]`: the zones and their regions.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Zones {
-    /// That of this client proxy. Without it no zone is nearer than another.
+    /// Zone of this client proxy. If absent, no zone is nearer than another.
     own: Option<String>,
-    /// The region of each zone.
+    /// Region of each zone, by zone name.
     regions: BTreeMap<String, String>,
 }
 
 impl FleetConfig {
-    /// Reads the file that the environment names; all off where it names none.
+    /// Reads the file that `$GW_FLEET` names; returns the default, all features off, if the variable is not
+    /// set.
     ///
     /// # Errors
-    /// Names the file, and the key with line and reason.
+    /// The file, with the invalid key or its line and the reason.
     pub fn from_env() -> Result<FleetConfig, ConfigError> {
         match env::var("GW_FLEET").ok().filter(|path| !path.is_empty()) {
             None => Ok(FleetConfig::default()),
@@ -91,13 +93,13 @@
         Ok(config)
     }
 
-    /// The relays to be asked; nothing where discovery itself is.
+    /// The relays to poll, if any are configured.
     pub fn relays(&self) -> Option<&Relays> {
         self.discovery.as_ref()
     }
 
-    /// Puts into the settings what the parts say of them. A zone that is not named here lies in no known
-    /// region, and all whose names nobody knows are one more zone.
+    /// Applies the tables to the settings and names. A zone that `zones.regions` does not list belongs to a
+    /// region of its own. One more zone number is added for all endpoints whose zone has no known name.
     pub fn apply(&self, settings: &mut Settings, names: &mut Names) {
         let Some(Zones { own, regions }) = &self.zones else { return };
         let new = regions.keys().filter(|zone| !names.zones.contains(zone)).cloned();
@@ -106,7 +108,7 @@
         let number = |name: &String| regions.values().position(|region| region == name);
         let region = |(n, zone): (usize, &String)| {
             let known = regions.get(zone).and_then(number);
-            // Beyond all numbers of regions: one of its own.
+            // Beyond the numbers of all listed regions, so that the zone has a region of its own.
             known.unwrap_or(regions.len() + n)
         };
         let mut by_zone: Vec<usize> = names.zones.iter().enumerate().map(region).collect();
--- a/client-proxy/src/headers.rs
+++ b/client-proxy/src/headers.rs
@@ -1,11 +1,12 @@
-//! Headers between a client and an endpoint.
+//! Headers of requests between client, client proxy and endpoint.
 
 use hyper::header::{CONNECTION, HeaderMap, HeaderName};
 
-/// How long a client proxy still waits for the answer, in both directions.
+/// Time in milliseconds for which the sender of a request still waits for the response; read from clients and
+/// sent to endpoints.
 pub static X_REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
 
-/// Takes out what is between two neighbours on the way only, and what is said anew on each hop.
+/// Removes hop-by-hop headers and those that are set anew for the next hop.
 pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -14,7 +15,8 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    // Guards against a client that names what must go on in `Connection`.
+    // `Connection` may list any header name. These have to reach the endpoint even if a client lists them
+    // there.
     let end_to_end = ["x-txn", "idempotency-key", "host"];
     for name in listed.iter().filter(|name| !end_to_end.contains(&name.as_str())) {
         headers.remove(name);
@@ -31,6 +33,6 @@
     ] {
         headers.remove(name);
     }
-    // Said anew for the body as it was read.
+    // hyper sets it again from the forwarded body.
     headers.remove("content-length");
 }
--- a/client-proxy/src/inherit.rs
+++ b/client-proxy/src/inherit.rs
@@ -1,4 +1,5 @@
-//! The listening socket that the platform may pass on, named by its number in the environment.
+//! The listening socket that the platform may pass to the process, identified by its descriptor number in the
+//! environment.
 
 use std::fs;
 use std::io;
@@ -7,16 +8,16 @@
 
 use socket2::{Socket, Type};
 
-/// The variable that names the descriptor.
+/// Variable that holds the descriptor number.
 pub const INHERITED_FD_VARIABLE: &str = "GW_INHERITED_FD";
-/// Standard input, output and error are nobody's to pass on.
+/// Standard input, output and error cannot be inherited as listening sockets.
 const MIN_PASSABLE_FD: RawFd = 3;
 
-/// Adopts the descriptor that `text` names, which has to listen on `address`. To be called once, before
-/// anything else of the program opens descriptors.
+/// Adopts the descriptor whose number is in `text`; it has to listen on `address`. To be called once, before
+/// anything else in the program opens descriptors.
 ///
 /// # Errors
-/// Says what is wrong with the descriptor; then it is left alone or closed.
+/// What is wrong with the descriptor, which is then left open or closed.
 pub fn inherited_listener(text: &str, address: SocketAddr) -> io::Result<TcpListener> {
     let invalid = |problem: &str| io::Error::other(format!("{INHERITED_FD_VARIABLE}: {text:?} {problem}"));
     let fd: RawFd = text.parse().map_err(|_| invalid("is no number of a descriptor"))?;
@@ -32,7 +33,7 @@
         return Err(invalid("does not listen"));
     }
     let bound = socket.local_addr()?.as_socket();
-    // A port of 0 leaves the choice to whoever made the socket.
+    // With port 0 in the configuration whoever created the socket has chosen the port.
     if bound.is_none_or(|bound| bound != address && (address.port() != 0 || bound.ip() != address.ip())) {
         return Err(invalid(&format!("listens elsewhere than on {address}")));
     }
@@ -40,11 +41,11 @@
     Ok(socket.into())
 }
 
-/// The one place that takes over a descriptor by its number.
+/// The only place that takes ownership of a descriptor by its number.
 #[allow(unsafe_code)]
 fn adopt(fd: RawFd) -> Socket {
-    // SAFETY: the caller has seen that it is open, and it is above the standard three. Nothing in this
-    // process has opened a descriptor yet that it keeps, so whoever started the process put it there for this
-    // use, and no other object owns it.
+    // SAFETY: the caller has checked that the descriptor is open and above the three standard ones. This
+    // process has not yet opened any descriptor that it keeps, so whoever started the process passed it for
+    // this use, and no other object owns it.
     unsafe { Socket::from_raw_fd(fd) }
 }
--- a/client-proxy/src/main.rs
+++ b/client-proxy/src/main.rs
@@ -1,4 +1,5 @@
-//! client-proxy: a client proxy on real sockets round the decisions of `balancer`.
+//! client-proxy: a client-side load-balancing proxy. Connects real sockets to the decision logic in
+//! `balancer`.
 
 mod accept;
 mod admin;
@@ -50,12 +51,15 @@
 use crate::shutdown::Shutdown;
 use crate::socket_budget::SocketBudget;
 
-/// How often two processes look at what the other has done. Calls by hand hold everywhere within a second.
+/// How often a process reads what its peer process has written to the state file and adjusts its share of the
+/// limits. Operator overrides take effect in both processes within a second.
 const PEER_SYNC_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a start waits for the folder before anything is sent: longer than a disk may hang (2 s), short
-/// enough for a new process to be ready in 6 s. Requests are answered meanwhile as where no list is known.
+/// How long startup waits for the state folder before requests may be sent upstream: longer than a disk may
+/// hang (2 s), short enough for a new process to be ready within 6 s. Until then requests get the response
+/// for an unknown endpoint list.
 const STATE_FOLDER_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long clients that connect just then are kept waiting for it.
+/// How long startup delays accepting clients so that the stored state is usually loaded before the first
+/// request.
 const EXPECTED_STATE_FOLDER_TIME: Duration = Duration::from_millis(100);
 fn main() -> ExitCode {
     let config = match Config::from_env() {
@@ -65,7 +69,8 @@
             return ExitCode::from(2);
         }
     };
-    // Before the runtime opens descriptors of its own.
+    // Has to run before the runtime opens descriptors of its own: the inherited descriptor is adopted by its
+    // number.
     let inherited = env::var(inherit::INHERITED_FD_VARIABLE).ok().filter(|text| !text.is_empty());
     let inherited = inherited.map(|text| inherit::inherited_listener(&text, config.listen)).transpose();
     let result = inherited.and_then(|inherited| {
@@ -130,7 +135,8 @@
         seed,
         Rc::clone(&endpoints),
         Rc::clone(&driver),
-        // Nobody takes over where the socket is our own.
+        // Without an inherited listening socket no other process takes over, so no state has to be left for
+        // it.
         Some(Rc::clone(&process_state)).filter(|_| listener_shared),
     );
     let longest_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
@@ -165,7 +171,7 @@
         started.clone(),
         move |process_state| discovery.run(process_state.newer_list(cached_list), commands),
     ));
-    // Where the folder answers at once, what it holds is known before the first request.
+    // If the folder responds promptly, the stored state is loaded before the first request.
     let _ = timeout(EXPECTED_STATE_FOLDER_TIME, started.cancelled()).await;
     let mut accept_loop = spawn_local(accept::serve(listener, Rc::new(context)));
     eprintln!("client-proxy: {name} listens on {bound}");
@@ -178,7 +184,8 @@
                     eprintln!("client-proxy: {name} finds discovery at {address}");
                     discovery_address.send_replace(address);
                 }
-                // A file that is no good is no reason to stop, nor to leave an address that may still answer.
+                // An unreadable file does not stop the proxy, and the old address may still respond, so it is
+                // kept.
                 Err(error) => eprintln!("client-proxy: {name} keeps discovery where it was: {error}"),
             },
             result = &mut accept_loop => return result.map_err(std::io::Error::other),
@@ -193,9 +200,9 @@
     Ok(())
 }
 
-/// Reads what an earlier process has left, then begins to follow the list, which `follow_list` does. Where
-/// `shared`, it goes on to follow what operators say to another process that may take over, or be taken over
-/// from.
+/// Loads the state of an earlier process, then starts `follow_discovery`. With a shared listening socket it
+/// goes on to apply operator overrides that the peer process (the predecessor or successor in an upgrade)
+/// records.
 async fn follow_process_state<F: Future<Output = ()> + 'static>(
     process_state: Rc<ProcessState>,
     driver: Rc<Driver>,
@@ -204,7 +211,8 @@
     follow_discovery: impl FnOnce(&ProcessState) -> F,
 ) {
     let mut initial_read = pin!(process_state.read_at_start());
-    // Guards against an endpoint used that is disabled by an operator: with no list nothing is used yet.
+    // The stored state says which endpoints operators have disabled. Using the endpoint list before that
+    // state is loaded could send requests to a disabled endpoint.
     let is_read_in_time = timeout(STATE_FOLDER_TIMEOUT, &mut initial_read).await.is_ok();
     if !is_read_in_time {
         eprintln!("client-proxy: the folder does not answer: begins without what an earlier process left");
@@ -231,8 +239,9 @@
     }
 }
 
-/// Enters this process among those that use the folder; whether that is done. Until then the limits that both
-/// share are gone over, so it is tried again; that it fails is said once.
+/// Registers this process as a user of the state file and returns whether that succeeded. Until it has, two
+/// processes may together exceed the limits that they share, so the caller retries; only the first failure is
+/// logged.
 async fn register_process(process_state: &ProcessState, has_logged_failure: &mut bool) -> bool {
     let Err(error) = process_state.register_process().await else { return true };
     if !std::mem::replace(has_logged_failure, true) {
@@ -241,7 +250,8 @@
     false
 }
 
-/// While another process may take over, or be taken over from: leaves it its part of the limits.
+/// Keeps this process within its share of the descriptor and memory limits while a peer process runs on the
+/// same listening socket.
 async fn share_limits_with_peer(
     process_state: Rc<ProcessState>,
     sockets: Rc<SocketBudget>,
@@ -259,7 +269,7 @@
     }
 }
 
-/// Listens on the address that `field` names.
+/// Listens on `address`; errors name the configuration field or variable `field`.
 fn bind(field: &str, address: SocketAddr) -> std::io::Result<TcpListener> {
     accept::listen(address)
         .map_err(|error| std::io::Error::new(error.kind(), format!("{field}: {address}: {error}")))
--- a/client-proxy/src/memory_budget.rs
+++ b/client-proxy/src/memory_budget.rs
@@ -1,33 +1,34 @@
-//! A part of the memory limit for bodies: apart for each direction, since what waits for answers must hold
-//! nothing that answers need; and apart for short and long ones, since a short one ought not to wait behind
-//! those that take seconds. Nobody who holds some for a long one waits for a short one's.
+//! Share of the memory limit that bodies may use. Requests and responses have a budget each, since a request
+//! that waits for its response must not reserve memory that responses need. Within a budget buffered and
+//! streamed bodies have separate pools, since a short body should not wait for streams that take seconds. A
+//! holder of a streaming permit never waits for the buffered pool.
 
 use std::cell::Cell;
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// What a body that goes on as it comes needs: the buffers of both connections, and a part between them.
+/// Memory of one streamed body: the buffers of both connections and a chunk between them.
 pub const STREAMED_BODY_BYTES: usize = 48 * 1024;
-/// Of the limit, for the bodies of one direction that are held whole, and for the long ones. The rest is for
-/// the program, its connections and what malloc leaves unused.
+/// Divisors of the limit: sizes of the pools for buffered and for streamed bodies of one direction. The rest
+/// is for the program, its connections and what malloc leaves unused.
 const BUFFERED_SHARE_DIVISOR: usize = 10;
 const STREAMED_SHARE_DIVISOR: usize = 8;
-/// However small the limit, there is room for this much.
+/// Size of a pool at least, however low the limit.
 const MIN_POOL_BYTES: usize = 256 * 1024;
 const PERMIT_BYTES: usize = 1024;
 
-/// A hold on some of it; free again when dropped.
+/// Reserved memory; returned to its pool on drop.
 pub type MemoryPermit = OwnedSemaphorePermit;
 
-/// Room for the bodies of one direction.
+/// Memory for the bodies of one direction.
 pub struct MemoryBudget {
     buffered: PermitPool,
     streamed: PermitPool,
 }
 
 impl MemoryBudget {
-    /// For one direction, of a process that may use `limit` bytes in all.
+    /// The budget for one direction, where the process may use `limit` bytes in total.
     pub fn new(limit: usize) -> MemoryBudget {
         MemoryBudget {
             buffered: PermitPool::new(limit / BUFFERED_SHARE_DIVISOR),
@@ -35,17 +36,18 @@
         }
     }
 
-    /// Waits for room for so many bytes of bodies that are held whole.
+    /// Waits until that many bytes are available for buffered bodies.
     pub async fn reserve_buffered(&self, bytes: usize) -> Option<MemoryPermit> {
         self.buffered.acquire(bytes).await
     }
 
-    /// Waits for room for a body that goes on as it comes.
+    /// Waits until memory for one streamed body is available.
     pub async fn reserve_streamed(&self) -> Option<MemoryPermit> {
         self.streamed.acquire(STREAMED_BODY_BYTES).await
     }
 
-    /// Keeps to the part that one of so many processes has; what is held beyond it goes as it becomes free.
+    /// Reduces the budget to the share of one of `processes` processes. Memory that is reserved beyond that
+    /// share is given up as it is released.
     pub fn split_among(&self, processes: usize) {
         self.buffered.split_among(processes);
         self.streamed.split_among(processes);
@@ -55,7 +57,7 @@
 struct PermitPool {
     permits: Arc<Semaphore>,
     total: usize,
-    /// How many there are at present, held or not.
+    /// Permits in existence at present, reserved or not.
     current: Cell<usize>,
 }
 
@@ -66,9 +68,9 @@
     }
 
     async fn acquire(&self, bytes: usize) -> Option<MemoryPermit> {
-        // More than there ever is would be waited for in vain.
+        // A request for more permits than the pool may ever have would wait forever.
         let permits = bytes.div_ceil(PERMIT_BYTES).min(MIN_POOL_BYTES / PERMIT_BYTES / 2) as u32;
-        // Closed never, so there is always an answer in the end.
+        // Never closed, so this always succeeds in the end.
         Arc::clone(&self.permits).acquire_many_owned(permits).await.ok()
     }
 
--- a/client-proxy/src/monitored_stream.rs
+++ b/client-proxy/src/monitored_stream.rs
@@ -1,5 +1,5 @@
-//! A TCP stream that others can observe while an HTTP connection owns it: how far a request was written, when
-//! bytes came, and how the other side ended.
+//! A TCP stream that can be observed while an HTTP connection owns it: how much of a request was written,
+//! when bytes arrived, and whether the peer has closed or reset it.
 
 mod read_ahead;
 mod stream_io;
@@ -25,62 +25,61 @@
 use self::stream_io::is_transient;
 use crate::socket_budget::SocketPermit;
 
-/// How the other side has ended what it sends.
+/// How the peer ended the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HangUp {
-    /// It sends nothing more; it may still read.
+    /// It closed its writing side; it may still read.
     Closed,
-    /// The connection is broken.
+    /// It reset the connection.
     Reset,
 }
 
-/// What is read ahead at most, to see an end behind what nobody has asked for yet.
+/// Bytes that are read ahead at most to detect an end of stream behind unread data.
 const MAX_READ_AHEAD: usize = 16 * 1024;
-/// How often it is looked for an end behind more than that.
+/// How often to check for an end of stream behind more data than that.
 const READ_AHEAD_RECHECK: Duration = Duration::from_millis(20);
 
-/// Whether a request that is about to be written may still be begun.
+/// Whether a request may still be sent; called just before its first byte is written.
 pub type MayBegin = Box<dyn Fn() -> bool>;
 
-/// A TCP stream that others can look at while an HTTP connection owns it.
+/// A TCP stream that can be observed while an HTTP connection owns it.
 pub struct MonitoredStream {
     stream: TcpStream,
-    /// What was read ahead, for whoever reads next.
+    /// Bytes read ahead, which the next read returns first.
     read_ahead_buffer: RefCell<ReadAhead>,
-    /// When the system was last known to hold nothing that is unread: all that is read later was sent after
-    /// this.
+    /// When the socket buffer was last known to be empty: all data that is read later was sent after this.
     last_empty: Cell<Instant>,
-    /// The system has been asked and held nothing, so that the runtime would tell of all that comes.
+    /// A read has returned `WouldBlock`, so the runtime will report any data that arrives.
     is_readiness_armed: Cell<bool>,
-    /// The reader found nothing when it last asked, and is woken as soon as something comes.
+    /// The reader found no data at its last poll and is woken as soon as some arrives.
     is_reader_waiting: Cell<bool>,
-    /// What was last given to the reader was not sent before this.
+    /// The earliest time at which the data that was last read may have been sent.
     last_read_sent_after: Cell<Instant>,
-    /// What ended it behind that.
+    /// The end of stream or reset behind the bytes read ahead.
     hung_up: Cell<Option<HangUp>>,
-    /// Asked right before the first byte of a request goes out; there until it has.
+    /// Called before the first byte of a request is written; `None` once that was written.
     may_begin: RefCell<Option<MayBegin>>,
-    /// A request was not begun, because it might not be any more.
+    /// A request was not sent because `may_begin` returned false.
     withheld: Cell<bool>,
     written: Cell<u64>,
     has_partial_write: Cell<bool>,
-    /// All of the request has been handed over to be written.
+    /// hyper has been given the complete request body.
     body_handed_over: Cell<bool>,
-    /// Where a request is counted once it is written whole; taken out then.
+    /// Counter to increment once the request is completely written; taken then.
     full_writes: Cell<Option<Rc<Cell<u64>>>>,
-    /// When it was.
+    /// When the request was completely written.
     fully_written_at: Cell<Option<Instant>>,
-    /// When the first byte came since this was last forgotten.
+    /// When the first byte arrived since the last reset of this field.
     first_byte_at: Cell<Option<Instant>>,
-    /// Since when the other side has taken none of what waits to be written.
+    /// When the peer stopped accepting data that is waiting to be written.
     write_stalled_since: Cell<Option<Instant>>,
     _slot: SocketPermit,
 }
 
 impl MonitoredStream {
-    /// Takes the stream, which sends small messages at once from now on.
+    /// Takes over the stream and sets TCP_NODELAY.
     pub fn new(stream: TcpStream, slot: SocketPermit) -> Rc<MonitoredStream> {
-        // Fails only where the connection is broken already, which the first use shows.
+        // Fails only on a broken connection, which the first read or write reports.
         let _ = stream.set_nodelay(true);
         let (written, has_partial_write, body_handed_over, full_writes) = Default::default();
         let (fully_written_at, first_byte_at, write_stalled_since, read_ahead_buffer, hung_up) =
@@ -109,9 +108,9 @@
         })
     }
 
-    /// Forgets what was written so far: a new request begins, to be counted in `whole` when all of it is
-    /// written. Its first byte is written only if `may_begin` says so at that moment; otherwise the write
-    /// fails.
+    /// Resets the write state for a new request. `full_writes` is incremented when the request is completely
+    /// written. The first byte is written only if `may_begin` returns true at that moment; otherwise the
+    /// write fails.
     pub fn begin_request(&self, full_writes: &Rc<Cell<u64>>, may_begin: MayBegin) {
         self.may_begin.replace(Some(may_begin));
         self.withheld.set(false);
@@ -122,12 +121,12 @@
         self.has_partial_write.set(false);
     }
 
-    /// Whether what was to be begun was not, because it might not be any more.
+    /// Whether the request was not sent because `may_begin` returned false.
     pub fn is_withheld(&self) -> bool {
         self.withheld.get()
     }
 
-    /// Asks, before the first byte of a request, whether it may still go out.
+    /// Checks before the first byte of a request whether it may still be sent.
     fn check_begin(&self) -> io::Result<()> {
         if self.may_begin.borrow().as_ref().is_some_and(|may_begin| !may_begin()) {
             self.withheld.set(true);
@@ -136,67 +135,66 @@
         Ok(())
     }
 
-    /// All of what was begun has been handed over to be written.
+    /// Records that hyper has been given the complete request body.
     pub fn mark_body_handed_over(&self) {
         self.body_handed_over.set(true);
     }
 
-    /// Whether the last byte of what was begun is known not to have been written.
+    /// Whether the last byte of the request is known not to have been written.
     pub fn is_partially_written(&self) -> bool {
         !self.body_handed_over.get() || self.written.get() == 0 || self.has_partial_write.get()
     }
 
-    /// How many bytes were written since the beginning, or since [`MonitoredStream::begin`].
+    /// Bytes written since the connection was opened, or since [`MonitoredStream::begin_request`].
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// When the last byte of it was written.
+    /// When the last byte of the request was written.
     pub fn fully_written_at(&self) -> Option<Instant> {
         self.fully_written_at.get()
     }
 
-    /// When the first byte came since [`MonitoredStream::reset_first_byte`].
+    /// When the first byte arrived since the last [`MonitoredStream::reset_first_byte`].
     pub fn first_byte_at(&self) -> Option<Instant> {
         self.first_byte_at.get()
     }
 
-    /// What comes from now on is something new.
+    /// Makes the next byte that arrives count as the first one.
     pub fn reset_first_byte(&self) {
         self.first_byte_at.set(None);
     }
 
-    /// What the system holds of it at this moment may have been sent at any time after `instant`, or
-    /// `instant` itself.
+    /// Declares that data in the socket buffer may have been sent at any time from `instant` on.
     pub fn set_unread_since(&self, instant: Instant) {
         self.last_empty.set(instant);
         self.is_readiness_armed.set(false);
     }
 
-    /// The last byte that was given to the reader was not sent before this, as far as known. Later bytes are
-    /// younger.
+    /// The earliest time at which the last byte that was read may have been sent, as far as known. Later
+    /// bytes were sent later.
     pub fn last_read_sent_after(&self) -> Instant {
         self.last_read_sent_after.get()
     }
 
-    /// Notes that the system holds nothing, if the runtime would have told of it.
+    /// Records that the socket buffer is empty, if the runtime would have reported any data.
     ///
-    /// Prevents a request that its client sends the moment it has its answer from being taken for one that
-    /// has waited for as long as that answer took.
+    /// Without this a request that the client sends as soon as it has its response would be taken for one
+    /// that has waited for as long as that response took.
     pub fn note_if_empty(&self) {
         if self.is_known_empty() {
             self.last_empty.set(Instant::now());
         }
     }
 
-    /// Whether the runtime, which would know, was told of nothing that has come since the system was last
-    /// asked. A reader that has to wait is no sign of it: its task may only have used up its turn.
+    /// Whether the runtime would have reported data that arrived since the last `WouldBlock`, and has not. A
+    /// pending read alone does not prove this: its task may have exhausted its cooperative budget.
     fn is_known_empty(&self) -> bool {
         let ready = pin!(self.stream.ready(Interest::READABLE));
         self.is_readiness_armed.get() && ready.poll(&mut Context::from_waker(Waker::noop())).is_pending()
     }
 
-    /// The reader was given something at `now` that was not sent before `sent_after`.
+    /// Records a read at `now` of data that was not sent before `sent_after`.
     fn note_read(&self, sent_after: Instant, now: Instant) {
         self.last_read_sent_after.set(sent_after);
         if self.first_byte_at.get().is_none() {
@@ -204,18 +202,18 @@
         }
     }
 
-    /// The system held nothing when it was asked at `asked`.
+    /// The socket buffer was empty at `asked`.
     fn found_empty(&self, asked: Instant) {
         self.last_empty.set(asked);
         self.is_readiness_armed.set(true);
     }
 
-    /// Ends what goes to the other side, then reads and drops what still comes, until that side closes too or
-    /// for `long`. Guards against a close over what was not read, which takes back what the other side has
-    /// not read yet.
+    /// Shuts down the writing side, then reads and discards data until the peer closes too, up to `limit`.
+    /// Closing a socket with unread data sends a reset, upon which the peer may lose data that it has not
+    /// read yet.
     pub async fn drain(&self, limit: Duration) {
-        // Guards against a client that waits on for the rest of an answer that has broken off. Fails only
-        // where the other side has closed.
+        // Tells a client that waits for the rest of a truncated response that there is no more. Fails only if
+        // the peer has closed.
         let _ = SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write);
         let mut discarded = vec![0; 8 * 1024];
         let drained = async {
@@ -230,31 +228,31 @@
         let _ = timeout(limit, drained).await;
     }
 
-    /// Gives back what was read of it but not used, to be read again before anything else. How much there is
-    /// then.
+    /// Puts back bytes that were read but not used; they are read again before anything else. Returns the
+    /// total number of bytes read ahead.
     pub fn put_back(&self, unused: &[u8]) -> usize {
         let mut buffer = self.read_ahead_buffer.borrow_mut();
         buffer.put_back(unused, self.last_read_sent_after.get());
         buffer.length
     }
 
-    /// Whether nothing that was read of it waits to be used.
+    /// Whether no bytes have been read ahead.
     pub fn is_read_ahead_empty(&self) -> bool {
         self.read_ahead_buffer.borrow().length == 0
     }
 
-    /// Writes a few bytes at once, where there is room for them.
+    /// Writes a few bytes at once if the socket buffer has space.
     pub fn write_now(&self, bytes: &[u8]) {
-        // Fails only where the other side has closed or does not read: then it has no use for them.
+        // Fails only if the peer has closed or does not read, and then the bytes are of no use to it.
         let _ = self.stream.try_write(bytes);
     }
 
-    /// How long the other side has taken nothing of what is to be written to it.
+    /// How long the peer has accepted none of the data that is waiting to be written.
     pub fn write_stalled_for(&self) -> Duration {
         self.write_stalled_since.get().map_or(Duration::ZERO, |since| since.elapsed())
     }
 
-    /// Waits until the other side has taken nothing for `long` of what is to be written to it.
+    /// Waits until the peer has accepted none of the data that is waiting to be written for `limit`.
     pub async fn wait_for_write_stall(&self, limit: Duration) {
         loop {
             let stalled_for = self.write_stalled_for();
@@ -265,18 +263,17 @@
         }
     }
 
-    /// Whether the other side has ended what it sends, as far as the runtime was told: what comes before its
-    /// end is read ahead, as far as there is room for it.
-    ///
-    /// Guards against an end that nobody sees because unread bytes lie before it.
+    /// Whether the peer has closed or reset the connection, as far as the runtime has reported. Reads ahead
+    /// up to the limit, since an end of stream behind unread data would otherwise go unnoticed.
     pub fn read_ahead_for_end(&self) -> Option<HangUp> {
         self.read_ahead(|chunk| self.stream.try_read(chunk))
     }
 
-    /// The same, asked of the system at this moment, also behind more than is read ahead.
+    /// As [`MonitoredStream::read_ahead_for_end`], but asks the system now, also behind more data than is
+    /// read ahead.
     ///
-    /// Prevents an end from going unnoticed that has come in since the runtime last asked for news of its
-    /// sockets, which may be long ago where the process was held up.
+    /// The runtime may have polled its sockets last long ago if the process was stalled, so it may not have
+    /// reported an end that has already arrived.
     pub fn query_hang_up(&self) -> Option<HangUp> {
         let hung_up = self.read_ahead(|chunk| (&*SockRef::from(&self.stream)).read(chunk));
         let is_all_read = self.read_ahead_buffer.borrow().length < MAX_READ_AHEAD;
@@ -305,8 +302,8 @@
         self.hung_up.get().or_else(|| self.is_read_closed().then_some(HangUp::Closed))
     }
 
-    /// Whether the system has received an end, also behind bytes that nobody has read. An interrupted call is
-    /// made again; no other failure says anything of the connection.
+    /// Whether the system has received an end of stream, also behind unread data. An interrupted call is
+    /// repeated; any other failure says nothing about the connection.
     fn poll_read_closed(&self) -> bool {
         let mut poll_fds = [PollFd::new(&self.stream, PollFlags::RDHUP)];
         let polled = retry_on_intr(|| poll(&mut poll_fds, Some(&Timespec::default())));
@@ -314,23 +311,23 @@
         polled.is_ok() && poll_fds[0].revents().intersects(closed)
     }
 
-    /// Whether the runtime was told of an end, also behind more than is read ahead.
+    /// Whether the runtime has reported an end of stream, also behind more data than is read ahead.
     fn is_read_closed(&self) -> bool {
         let ready = pin!(self.stream.ready(Interest::READABLE));
         let ready = ready.poll(&mut Context::from_waker(Waker::noop()));
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Waits until the other side has ended what it sends.
+    /// Waits until the peer closes its writing side or resets the connection.
     pub async fn wait_for_hang_up(&self) -> HangUp {
         loop {
             if let Some(hung_up) = self.read_ahead_for_end() {
                 return hung_up;
             }
             if self.read_ahead_buffer.borrow().length < MAX_READ_AHEAD {
-                // Fails only where the runtime ends.
+                // Fails only when the runtime shuts down.
                 let _ = self.stream.readable().await;
-                // The system held nothing before, and the runtime wakes us as soon as something comes.
+                // The socket buffer was empty until now: the runtime wakes this task as soon as data arrives.
                 self.last_empty.set(Instant::now());
             } else {
                 sleep(READ_AHEAD_RECHECK).await;
@@ -338,10 +335,9 @@
         }
     }
 
-    /// Whether nothing has come in and the other side has not closed, asked of the system at this moment.
+    /// Whether no data has arrived and the peer has not closed, asked of the system now.
     ///
-    /// Guards against a close that has arrived but that no task was told of yet: a request written now would
-    /// be lost.
+    /// A close may have arrived that no task has been notified of; a request written after it would be lost.
     pub fn is_quiet(&self) -> bool {
         if !self.is_read_ahead_empty() || self.hung_up.get().is_some() {
             return false;
--- a/client-proxy/src/monitored_stream/read_ahead.rs
+++ b/client-proxy/src/monitored_stream/read_ahead.rs
@@ -1,4 +1,4 @@
-//! Bytes that were read ahead of their use, with what is known of when they were sent.
+//! Bytes that were read ahead of their use, and when they were sent.
 
 use std::collections::VecDeque;
 
@@ -6,17 +6,17 @@
 use tokio::io::ReadBuf;
 use tokio::time::Instant;
 
-/// How many pieces of it have a time of their own; what comes behind them is taken to be as old as the last
-/// of them.
+/// Number of segments with a time of their own; bytes beyond them count as sent at the time of the last
+/// segment, that is, too early.
 pub(super) const MAX_SEGMENTS: usize = 64;
 
-/// Bytes that were read ahead of their use, and an instant before which the last of them was not sent.
+/// Bytes that were read ahead, and the earliest time at which the last of them may have been sent.
 pub(super) struct Segment {
     pub(super) bytes: BytesMut,
     pub(super) sent_after: Instant,
 }
 
-/// What was read ahead, oldest first.
+/// Bytes that were read ahead, oldest first.
 #[derive(Default)]
 pub(super) struct ReadAhead {
     pub(super) segments: VecDeque<Segment>,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Moves bytes into `buf`, of one segment only, and says when they were sent; `None` where there are
-    /// none.
+    /// Moves bytes of a single segment into `buf` and returns the earliest time at which they may have been
+    /// sent; `None` if there are none.
     pub(super) fn take(&mut self, buf: &mut ReadBuf<'_>) -> Option<Instant> {
         let first = self.segments.front_mut()?;
         let sent_after = first.sent_after;
--- a/client-proxy/src/monitored_stream/stream_io.rs
+++ b/client-proxy/src/monitored_stream/stream_io.rs
@@ -1,4 +1,4 @@
-//! The reading and writing half of a monitored stream.
+//! `AsyncRead` and `AsyncWrite` for a monitored stream.
 
 use std::io;
 use std::pin::Pin;
@@ -11,13 +11,13 @@
 
 use super::{HangUp, MonitoredStream};
 
-/// Whether a call on a socket that failed says nothing of its connection: it would have had to wait, or was
-/// interrupted.
+/// Whether a failed socket call should be repeated: it would have blocked or was interrupted, which says
+/// nothing about the connection.
 pub(super) fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// The half of a [`MonitoredStream`] stream that reads and writes.
+/// Reads from and writes to a [`MonitoredStream`].
 pub struct Io(pub Rc<MonitoredStream>);
 
 impl AsyncRead for Io {
@@ -60,7 +60,7 @@
 impl AsyncWrite for Io {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let monitored = &self.0;
-        // Until all of the buffer is with the system, the last byte is not written.
+        // Until the complete buffer has been written, the last byte of the request is not.
         monitored.has_partial_write.set(true);
         loop {
             let ready = monitored.stream.poll_write_ready(cx);
@@ -84,7 +84,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Asked for when nothing waits to be written any more.
+        // hyper flushes once all of its buffered data has been written.
         if !self.0.is_partially_written()
             && let Some(full_writes) = self.0.full_writes.take()
         {
@@ -96,7 +96,7 @@
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         let closed = SockRef::from(&self.0.stream).shutdown(std::net::Shutdown::Write);
-        // One that the other side has closed needs no closing.
+        // The peer has already closed the connection.
         Poll::Ready(closed.or_else(|e| if e.kind() == io::ErrorKind::NotConnected { Ok(()) } else { Err(e) }))
     }
 }
--- a/client-proxy/src/names.rs
+++ b/client-proxy/src/names.rs
@@ -1,14 +1,14 @@
-//! The names behind the numbers of the settings.
+//! Names of the classes, tenants, zones and kinds that the settings refer to by number.
 
-/// The names behind the numbers of the settings.
+/// Names by number, as the settings use them.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Of the classes of requests.
+    /// Request classes.
     pub classes: Vec<String>,
-    /// Of the tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<String>,
-    /// Of the zones.
+    /// Zones.
     pub zones: Vec<String>,
-    /// Of the kinds of endpoints.
+    /// Kinds of endpoints.
     pub kinds: Vec<String>,
 }
--- a/client-proxy/src/process_state.rs
+++ b/client-proxy/src/process_state.rs
@@ -1,7 +1,6 @@
-//! What the next process of this client proxy has to know of this one: one small file in `$TMPDIR`, replaced
-//! whole by a rename. Two processes may use it at once while one takes over from the other. The file is read
-//! and written on a thread that lives for one operation, so the event loop only ever waits; a folder that
-//! hangs delays no answer.
+//! State that a process of this client proxy leaves for the next one: a small file in `$TMPDIR`, replaced
+//! atomically by a rename. During an upgrade two processes use it at once. Each read or write runs on a
+//! thread of its own, so a folder that hangs blocks neither the event loop nor any response.
 
 mod state_file;
 
@@ -28,78 +27,80 @@
 use crate::clock::{Clock, boot_id};
 use crate::names::Names;
 
-/// With what the names of the stored files begin, on behalf of earlier versions: two processes of an upgrade share the files, and
-/// the older one knows them by this name alone.
+/// Prefix of the file names. Earlier versions use it, and the two processes of an upgrade, which may be of
+/// different versions, have to share the files.
 const STATE_FILE_PREFIX: &str = "martensill";
-/// The form of the file. Another one is not read.
+/// Format version of the file. Files of other versions are not read.
 const VERSION: u32 = 1;
-/// How long a caller waits for its change. Operators are owed their answer within a second.
+/// How long a caller waits for its change. Operators have to get their reply within a second.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// The pause before a read at start that failed is tried again.
+/// Backoff before a failed initial read is repeated.
 const READ_RETRY: Duration = Duration::from_millis(100);
 
-/// What the file holds.
+/// Contents of the file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct State {
     version: u32,
-    /// Whose file it is; not said by earlier versions of the program.
+    /// The client proxy that the file belongs to. Earlier versions of the program do not write it.
     #[serde(default)]
     owner: Option<String>,
-    /// Endpoints that operators have taken out.
+    /// Endpoints that operators have disabled.
     #[serde(default)]
     #[serde(rename = "out")]
     pub disabled: BTreeSet<String>,
-    /// Those that were put back and may still be cold: when, in Unix milliseconds. Earlier versions of the
-    /// program read this; a stepped wall clock spoils it, so that it only tells one time from another here.
+    /// When operators enabled endpoints that may still be in slow start, in Unix milliseconds. Earlier
+    /// versions of the program read this. A step of the wall clock makes it wrong, so here it only serves to
+    /// tell whether an endpoint was enabled again.
     #[serde(default)]
     #[serde(rename = "back")]
     pub enabled_unix_ms: BTreeMap<String, f64>,
-    /// The same by the machine's monotonic clock.
+    /// The same times on the machine's monotonic clock.
     #[serde(default)]
     #[serde(rename = "back_monotonic")]
     pub enabled_at: EnabledTimes,
-    /// The list as discovery last told it, in the form that the configuration has it in.
+    /// The last endpoint list, in the format in which the configuration gives it.
     #[serde(default)]
     #[serde(rename = "list")]
     pub endpoint_list: Option<Value>,
-    /// The processes that use the file; some may have ended.
+    /// IDs of the processes that use the file; some may have exited.
     #[serde(default)]
     processes: BTreeSet<u32>,
 }
 
 impl State {
-    /// Forgets those that were put back before `at` on the monotonic clock.
+    /// Removes endpoints that were enabled before `at` on the monotonic clock.
     pub fn forget_enabled_before(&mut self, at: Millis) {
         self.enabled_at.forget_before(at);
         self.enabled_unix_ms.retain(|name, _| self.enabled_at.get(name).is_some());
     }
 }
 
-/// The one permit to touch the file. It is held until what an operation found or wrote is taken in here.
+/// Permission to access the file. An operation keeps it until its result has been stored in [`ProcessState`].
 type FilePermit = OwnedMutexGuard<()>;
 
-/// The file and what is known of it.
+/// The state file, and the last known contents.
 pub struct ProcessState {
-    /// `None` where there is no `$TMPDIR`: then nothing outlives this process.
+    /// `None` without `$TMPDIR`: then no state outlives this process.
     file: Option<Arc<StateFile>>,
     permit: Arc<Mutex<()>>,
     state: RefCell<State>,
     clock: Clock,
-    /// Of the file that was read last.
+    /// Identifies the file that was read last.
     last_fingerprint: Cell<Option<Fingerprint>>,
-    /// A change was made on top of what the other process may have written.
+    /// A change was merged with what the other process may have written, so the result has to be applied
+    /// here.
     has_unapplied_change: Cell<bool>,
-    /// The read before this one failed; that is said once.
+    /// The last read failed; only the first failure in a row is logged.
     read_failed: Cell<bool>,
-    /// The newest list that is to be written, and whether a task is at it.
+    /// The newest list still to be written, and whether a task is writing.
     pending_list: RefCell<Option<Value>>,
     is_writing_list: Cell<bool>,
-    /// The last list could not be written; that is said once.
+    /// The last list could not be written; only the first failure in a row is logged.
     list_write_failed: Cell<bool>,
 }
 
 impl ProcessState {
-    /// The file of this client proxy in `dir`. Nothing is read yet.
+    /// Uses the file of this client proxy in `dir`. Does not read it yet.
     pub fn open(dir: Option<PathBuf>, name: &str, names: &Names) -> ProcessState {
         let sanitized = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
         let file = format!("{STATE_FILE_PREFIX}-{}.json", name.chars().map(sanitized).collect::<String>());
@@ -122,29 +123,28 @@
         }
     }
 
-    /// The clock of [`State::back_monotonic`].
+    /// The clock of [`State::enabled_at`].
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// What is known of it at present.
+    /// The last known contents.
     pub fn state(&self) -> State {
         self.state.borrow().clone()
     }
 
-    /// Reads what an earlier process has left, and tries until it is known what that is. A file that is no
-    /// good is reported and counts as none; so does one of another client proxy, or of another deployment,
-    /// which has other names.
+    /// Loads what an earlier process has left, retrying until the read succeeds. A file that is invalid, or
+    /// belongs to another client proxy or to a deployment with other names, is logged and ignored.
     pub async fn read_at_start(&self) {
         while self.read(true).await.is_err() {
             sleep(READ_RETRY).await;
         }
     }
 
-    /// Reads the file again if it is another one than before; true if what it holds has changed since the
-    /// last call.
+    /// Reads the file again if it has been replaced. Returns whether the contents have changed since the last
+    /// call.
     pub async fn refresh(&self) -> bool {
-        // One that could not be read is read the next time.
+        // After a failure the file is read at the next call.
         let changed = self.read(false).await.unwrap_or(false);
         self.has_unapplied_change.take() || changed
     }
@@ -160,7 +160,7 @@
         });
         let (read_result, _permit) = read_result.await?;
         let newer = read_result.inspect_err(|error| {
-            // A lock that is held is no trouble: the other process is at it.
+            // A lock that the other process holds is not an error.
             if !matches!(error, StateFileError::Locked) && !self.read_failed.replace(true) {
                 eprintln!("client-proxy: the state file is not read: {error}");
             }
@@ -178,15 +178,15 @@
         })
     }
 
-    /// The list that is handed on, unless the one that was `known` before is newer.
+    /// The stored list or `known`, whichever is newer.
     pub fn newer_list(&self, known: Option<Value>) -> Option<Value> {
         let index = |list: &Option<Value>| list.as_ref().and_then(|list| list.get("index")?.as_u64());
         let stored = self.state().endpoint_list;
         if index(&stored) >= index(&known) { stored.or(known) } else { known }
     }
 
-    /// Leaves the list for the next process, without waiting for it. One that cannot be written is only
-    /// missed if there is a next process, and the next answer of discovery tries again.
+    /// Stores the list for the next process without waiting for it. A failure matters only if there is a next
+    /// process, and the next update from discovery repeats the write.
     pub fn publish_list(self: &Rc<Self>, list: Value) {
         self.pending_list.replace(Some(list));
         if !self.is_writing_list.replace(true) {
@@ -210,7 +210,7 @@
         self.is_writing_list.set(false);
     }
 
-    /// Enters this process among those that use the file.
+    /// Registers this process as a user of the file.
     ///
     /// # Errors
     /// As for [`ProcessState::change`].
@@ -222,19 +222,18 @@
         .await
     }
 
-    /// How many processes use the file at present, this one included.
+    /// Number of running processes that use the file, including this one.
     pub fn processes(&self) -> usize {
         let own_pid = std::process::id();
         let state = self.state.borrow();
         1 + state.processes.iter().filter(|id| **id != own_pid && is_running(**id)).count()
     }
 
-    /// Changes what the file holds, on top of what the other process may have written meanwhile. What this
-    /// returns without an error is durable. To be driven to its end: a caller that drops it does not learn
-    /// what came of it.
+    /// Applies a change on top of what the other process may have written meanwhile. After `Ok` the change is
+    /// durable. A caller that drops the future does not learn the result.
     ///
     /// # Errors
-    /// What failed, or that it took too long; then nothing has changed, and nothing will.
+    /// What failed, or that it took too long; then the change is not in effect and never will be.
     pub async fn change(
         &self,
         change: impl FnOnce(&mut State) + Send + 'static,
@@ -248,7 +247,7 @@
         match timeout(CHANGE_TIMEOUT, &mut outcome).await {
             Ok(outcome) => outcome,
             Err(_) if decision.abandon() => Err(StateFileError::TimedOut),
-            // It is durable, and the word of it is on its way.
+            // The change is durable already, and its result is about to arrive.
             Err(_) => outcome.await,
         }
     }
@@ -265,7 +264,8 @@
             Ok(state) => drop(reply.send(Ok((state, permit)))),
             Err(FailedChange { error, rollback }) => {
                 let _ = reply.send(Err(error));
-                // The permit stays here until then: nobody reads or changes what must not hold.
+                // The permit is kept until the rollback is complete, so that no other operation reads or
+                // changes the state that is being undone.
                 if let Some(rollback) = rollback {
                     file.roll_back(&rollback);
                 }
@@ -273,15 +273,16 @@
             }
         });
         let (state, _permit): (State, FilePermit) = written.await??;
-        // Guards against an operator's word to the other process that comes in with a change of this one,
-        // such as the list: then the file holds no news, but what it says has not been followed.
+        // The file may contain an override that the other process wrote. This write has read and kept it, so
+        // the file will not look changed at the next refresh, although the override has not been applied in
+        // this process.
         self.has_unapplied_change.set(true);
         self.state.replace(state);
         Ok(())
     }
 }
 
-/// Runs `work` on a thread of its own; what it replies.
+/// Runs `work` on a new thread and returns its reply.
 async fn on_thread<T: Send + 'static>(
     work: impl FnOnce(oneshot::Sender<T>) + Send + 'static,
 ) -> Result<T, StateFileError> {
--- a/client-proxy/src/process_state/put_back.rs
+++ b/client-proxy/src/process_state/put_back.rs
@@ -1,15 +1,16 @@
-//! When operators put endpoints back, by the machine's monotonic clock: between two processes of an upgrade
-//! the wall clock may be stepped, and an endpoint must not be warm at once or cold for an hour by that.
+//! When operators enabled endpoints, on the machine's monotonic clock. The wall clock may be stepped between
+//! the two processes of an upgrade; by that clock an endpoint's slow start could end at once or last for an
+//! hour.
 
 use std::collections::BTreeMap;
 
 use balancer::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Times by the endpoints' names.
+/// Times at which endpoints were enabled, by endpoint name.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EnabledTimes {
-    /// The boot whose monotonic clock it is: another one counts from elsewhere.
+    /// The boot that the times refer to: the monotonic clock starts anew with each boot.
     #[serde(default)]
     boot_id: Option<String>,
     #[serde(default)]
@@ -18,35 +19,35 @@
 }
 
 impl EnabledTimes {
-    /// When that endpoint was put back.
+    /// When the endpoint was enabled.
     pub fn get(&self, name: &str) -> Option<Millis> {
         self.by_endpoint.get(name).copied()
     }
 
-    /// All of them.
+    /// All endpoints and times.
     pub fn iter(&self) -> impl Iterator<Item = (&str, Millis)> {
         self.by_endpoint.iter().map(|(name, at)| (name.as_str(), *at))
     }
 
-    /// An endpoint is put back.
+    /// Records that an endpoint was enabled.
     pub fn insert(&mut self, name: &str, at: Millis) {
         self.by_endpoint.insert(name.to_owned(), at);
     }
 
-    /// An endpoint is taken out again.
+    /// Removes an endpoint that is disabled again.
     pub fn remove(&mut self, name: &str) {
         self.by_endpoint.remove(name);
     }
 
-    /// Forgets what is earlier than `at`.
+    /// Removes times up to `at`.
     pub fn forget_before(&mut self, at: Millis) {
         self.by_endpoint.retain(|_, enabled_at| *enabled_at > at);
     }
 
-    /// Makes what was read from the file hold for this process, at `now`: `unix` are the times by the wall
-    /// clock, which each version of the program writes, and `known` is both as this process had them before.
-    /// An endpoint without a time by the clock of this boot was put back just now, at the latest: it is cold
-    /// from when that was read first.
+    /// Converts times read from the file at `now` for use by this process. `unix_ms` are the wall-clock
+    /// times, which every version of the program writes; `known` are both kinds of times as this process knew
+    /// them before. An endpoint that has no time on the clock of this boot counts as enabled when its entry
+    /// was first read, which is at or after the actual time, so its slow start is never too short.
     pub fn reconcile(
         &mut self,
         unix_ms: &BTreeMap<String, f64>,
--- a/client-proxy/src/process_state/state_file.rs
+++ b/client-proxy/src/process_state/state_file.rs
@@ -1,6 +1,6 @@
-//! The state file on disk. Every call here may block for as long as the disk does, so all of them are made on
-//! a thread of their own, one at a time. A change is written beside the file, synced, renamed over it, and
-//! the folder synced.
+//! The state file on disk. All calls here may block for as long as the disk does, so they run on separate
+//! threads, one at a time. A change is written to a temporary file, synced and renamed over the state file,
+//! then the folder is synced.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, ErrorKind, Write};
@@ -13,24 +13,24 @@
 use super::{State, VERSION};
 use crate::clock::Clock;
 
-/// For how long, and how often, a lock that the other process holds is tried.
+/// How long, and at what interval, to retry a lock that the other process holds.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(300);
 const LOCK_RETRY: Duration = Duration::from_millis(2);
-/// The pause before a rollback that failed is tried again.
+/// Backoff before a failed rollback is retried.
 const ROLLBACK_RETRY: Duration = Duration::from_millis(100);
 
-/// Why the file was not read or not changed.
+/// Why the file could not be read or changed.
 #[derive(Debug, thiserror::Error)]
 pub enum StateFileError {
-    /// A call to the system failed.
+    /// A system call failed.
     #[error("{step}: {source}")]
     System {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// What the system said.
+        /// Error of the system call.
         source: io::Error,
     },
-    /// The other process has kept its lock for too long.
+    /// The other process held its lock for too long.
     #[error("another process holds the lock")]
     Locked,
     /// The caller has stopped waiting.
@@ -38,24 +38,24 @@
     TimedOut,
 }
 
-/// Names the step at which a call to the system failed.
+/// Adds the failed operation to an I/O error.
 fn failed_at(step: &'static str) -> impl Fn(io::Error) -> StateFileError {
     move |source| StateFileError::System { step, source }
 }
 
-/// What was found where the file belongs.
+/// Result of reading the file.
 pub enum Contents {
     Missing,
-    /// Spoilt, of another version or of another client proxy; says which.
+    /// Invalid, of another version, or of another client proxy; holds the reason.
     Unusable(String),
     State(State),
 }
 
-/// Tells one file at the path from the next; a rename puts another one there.
+/// Identifies a file by inode, modification time and size; each rename puts another file in place.
 pub type Fingerprint = (u64, i64, i64, u64);
 
-/// Decides once whether a change holds: between the thread that writes it and the caller that may stop
-/// waiting.
+/// Decides exactly once whether a change takes effect, between the thread that writes it and the caller,
+/// which may stop waiting.
 #[derive(Default)]
 pub struct CommitDecision(AtomicU8);
 
@@ -64,12 +64,12 @@
     const COMMITTED: u8 = 1;
     const ABANDONED: u8 = 2;
 
-    /// The change is durable; false if the caller has been told otherwise already.
+    /// Commits a durable change; false if the caller has already given up.
     fn commit(&self) -> bool {
         self.decide(CommitDecision::COMMITTED)
     }
 
-    /// Nobody waits for the change any more; false if it is durable already.
+    /// Gives up waiting for the change; false if it is already durable.
     pub fn abandon(&self) -> bool {
         self.decide(CommitDecision::ABANDONED)
     }
@@ -83,11 +83,11 @@
     }
 }
 
-/// A change that did not come about.
+/// A change that did not take effect.
 #[derive(Debug)]
 pub struct FailedChange {
     pub error: StateFileError,
-    /// What has to be taken back, if the change may have reached the disk.
+    /// Set if the change may have reached the disk and has to be undone.
     pub rollback: Option<Box<Rollback>>,
 }
 
@@ -97,8 +97,8 @@
     }
 }
 
-/// The state before a change that must not hold. The lock keeps the other process from reading the change
-/// meanwhile.
+/// The state to restore after a change that must not take effect. The lock keeps the other process from
+/// reading that change meanwhile.
 #[derive(Debug)]
 pub struct Rollback {
     before: State,
@@ -106,19 +106,19 @@
     _lock: File,
 }
 
-/// The path of the file, and whose it is.
+/// Location and owner of the state file.
 pub struct StateFile {
     pub path: PathBuf,
-    /// The client proxy and its deployment.
+    /// Identifies the client proxy and its deployment.
     pub owner: String,
-    /// Of the times at which operators put endpoints back.
+    /// Clock of the times at which operators enabled endpoints.
     pub clock: Clock,
-    /// The boot that the clock counts from, where the system says.
+    /// The boot that the clock counts from, if known.
     pub boot_id: Option<String>,
 }
 
 impl StateFile {
-    /// What the file holds, with its times as they hold for this process, which has `known` before.
+    /// Reads the file and converts its times for this process, which knows the state `known` so far.
     pub fn read(&self, known: &State) -> Result<Contents, StateFileError> {
         let bytes = match fs::read(&self.path) {
             Ok(bytes) => bytes,
@@ -150,11 +150,11 @@
         })
     }
 
-    /// What the file holds, if it is another file than the one that was `seen` last.
+    /// Reads the file if it is not the one identified by `last_fingerprint`.
     ///
-    /// Guards against reading a change that is not acknowledged yet, or is about to be taken back: it waits
-    /// for the lock. Who `insists` reads without it in the end, since an acknowledged change must not be
-    /// missed either.
+    /// Waits for the lock first: the other process may have written a change that is not yet acknowledged, or
+    /// is about to be rolled back. With `must_read` the file is read in the end even without the lock, since
+    /// an acknowledged change must not be missed either.
     pub fn read_newer(
         &self,
         last_fingerprint: Option<Fingerprint>,
@@ -166,20 +166,20 @@
         }
         let lock = match File::open(self.lock_path()) {
             Ok(lock) => acquire_lock(|| lock.try_lock_shared()).map(|()| Some(lock)),
-            // Nobody has changed the file under a lock; or there is no locking, and a rename is whole all the
-            // same.
+            // No process has changed the file under a lock yet, or locks do not work here; a rename is atomic
+            // in any case.
             Err(_) => Ok(None),
         };
         if matches!(lock, Err(StateFileError::Locked)) && !must_read {
             return Err(StateFileError::Locked);
         }
-        // Before the contents: if the file is replaced in between, it is read once more.
+        // Taken before the contents: if the file is replaced in between, the next call reads it again.
         let fingerprint = self.fingerprint()?;
         Ok(Some((fingerprint, self.read(known)?)))
     }
 
-    /// Changes what the file holds, on top of what the other process may have written meanwhile, or else of
-    /// what is `known`. Once this returns a state, that state is durable.
+    /// Applies a change on top of what the other process may have written meanwhile, or of `known` if there
+    /// is no usable file. A state that this returns is durable.
     pub fn change(
         &self,
         known: State,
@@ -199,7 +199,7 @@
         let mut after = before.clone();
         change(&mut after);
         self.write_temporary(&after)?;
-        // Guards against a change that comes into force after its caller has been told that it does not.
+        // The caller has been told that the change failed, so it must not take effect.
         if decision.is_abandoned() {
             self.remove_temporary();
             return Err(StateFileError::TimedOut.into());
@@ -208,8 +208,9 @@
             self.remove_temporary();
             return Err(failed_at("renaming it")(error).into());
         }
-        // Prevents a change that was refused meanwhile from being in force until the folder is synced, which
-        // may take for longer than this process lives.
+        // The caller may have given up during the rename. Syncing the folder may take longer than this
+        // process lives, and the rejected change would stay in effect until then, so it is rolled back at
+        // once.
         let synced =
             if decision.is_abandoned() { Err(StateFileError::TimedOut) } else { sync_folder(&folder) };
         let error = match synced {
@@ -221,7 +222,7 @@
         Err(FailedChange { error, rollback: Some(Box::new(rollback)) })
     }
 
-    /// Puts back what was before a change that failed late, and tries until that holds.
+    /// Restores the state before a change, retrying until that succeeds.
     pub fn roll_back(&self, rollback: &Rollback) {
         while self.replace(rollback).is_err() {
             thread::sleep(ROLLBACK_RETRY);
@@ -234,7 +235,7 @@
         sync_folder(&rollback.folder)
     }
 
-    /// Writes the next file, durably, in place of one that a process left when it was killed.
+    /// Writes and syncs the temporary file, replacing one that a killed process may have left.
     fn write_temporary(&self, state: &State) -> Result<(), StateFileError> {
         let result =
             File::create(self.temporary_path()).map_err(failed_at("opening it")).and_then(|mut file| {
@@ -249,7 +250,7 @@
         result
     }
 
-    /// Gives the space back. One that stays is overwritten by the next change.
+    /// Frees the disk space. If this fails, the next change overwrites the file.
     fn remove_temporary(&self) {
         let _ = fs::remove_file(self.temporary_path());
     }
@@ -273,8 +274,8 @@
     }
 }
 
-/// Waits for the other process to be done; the lock goes with the descriptor, also with that of a killed
-/// process.
+/// Waits until the other process releases the lock. The system releases it when its descriptor is closed,
+/// also when that process is killed.
 fn acquire_lock(try_lock: impl Fn() -> Result<(), TryLockError>) -> Result<(), StateFileError> {
     let deadline = Instant::now() + LOCK_TIMEOUT;
     loop {
@@ -289,8 +290,7 @@
     }
 }
 
-/// A rename lasts once its folder is synced. File systems that know no sync of a folder do not outlast a
-/// crash anyway.
+/// Makes a rename durable. File systems that cannot sync a folder give no such guarantee anyway.
 fn sync_folder(folder: &File) -> Result<(), StateFileError> {
     match folder.sync_all() {
         Err(error) if !matches!(error.kind(), ErrorKind::InvalidInput | ErrorKind::Unsupported) => {
--- a/client-proxy/src/request_body.rs
+++ b/client-proxy/src/request_body.rs
@@ -1,4 +1,5 @@
-//! Bodies on their way: requests to endpoints, and how the pace of those that send them is judged.
+//! Request bodies on their way from clients to endpoints, and the minimum rate at which clients have to send
+//! them.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -13,35 +14,36 @@
 
 use crate::memory_budget::{MemoryBudget, MemoryPermit};
 
-/// A body up to this is read whole before it goes on.
+/// A body of up to this size is read completely before the request is forwarded.
 pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
-/// Whole bodies are written in pieces of this size, so that no connection's buffer grows to the size of a
-/// body.
+/// Buffered bodies are written in chunks of this size, so that no connection's write buffer grows to the size
+/// of a body.
 pub const CHUNK_SIZE: usize = 16 * 1024;
-/// What a body has to make for each second that it is waited for, in bytes.
+/// A client has to send at least this many bytes per second of the time that its body is waited for.
 const MIN_BYTES_PER_SECOND: f64 = 64_000.0;
-/// A client whose body stands still for so long has stopped, whatever its pace was: it is owed an end within
-/// 3 s.
+/// A client that sends nothing of its body for this long is stalled, whatever its average rate: clients have
+/// to get an end within 3 s.
 const MAX_STALL: Duration = Duration::from_millis(2_500);
 
-/// A request that finds no room for its body for so long is given up.
+/// How long a request waits for memory for its body before it is rejected.
 const MEMORY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a body did not come whole.
+/// Why a body could not be read completely.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BodyError {
-    /// It fell behind the pace.
+    /// It arrived below the minimum rate or stalled.
     #[error("the body did not come in time")]
     Late,
-    /// It ended early, or not in the form that the protocol asks for.
+    /// It ended early or is malformed.
     #[error("the body broke off")]
     Incomplete,
-    /// The memory for bodies is in use.
+    /// The memory budget for bodies is used up.
     #[error("there is no room for the body at present")]
     NoMemory,
 }
 
-/// A body that is read no faster than it is asked for. Only the time that it is waited for counts against it.
+/// A body with a minimum rate. It is read only as fast as it is polled, and only the time spent waiting for
+/// it counts against the client.
 pub struct PacedBody {
     body: Incoming,
     grace: Duration,
@@ -52,22 +54,22 @@
 }
 
 impl PacedBody {
-    /// Allows for `grace` beyond the pace.
+    /// Allows for `grace` on top of the time that the minimum rate gives.
     pub fn new(body: Incoming, grace: Duration) -> PacedBody {
         PacedBody { body, grace, received: 0, waited: Duration::ZERO, waiting_since: None, timer: None }
     }
 
-    /// Whether it is known to hold nothing more.
+    /// Whether the body is known to have ended.
     pub fn is_end_stream(&self) -> bool {
         self.body.is_end_stream()
     }
 
-    /// How long it has kept us waiting so far.
+    /// Total time spent waiting for the client.
     pub fn waited(&self) -> Duration {
         self.waited
     }
 
-    /// The next part of it. Trailers are no part of it.
+    /// The next chunk. Trailers are skipped.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let polled = Pin::new(&mut self.body).poll_frame(cx);
@@ -90,8 +92,8 @@
                     let waiting_since = *self.waiting_since.get_or_insert_with(Instant::now);
                     let allowed =
                         self.grace + Duration::from_secs_f64(self.received as f64 / MIN_BYTES_PER_SECOND);
-                    // Guards against a client that has sent much at once and then stops: its pace allows it
-                    // seconds.
+                    // A client that sends a large part at once and then stops would otherwise be waited for
+                    // as long as its average rate allows.
                     let until = waiting_since + allowed.saturating_sub(self.waited).min(MAX_STALL);
                     let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(Duration::ZERO)));
                     if timer.deadline() != until {
@@ -104,10 +106,11 @@
         }
     }
 
-    /// Reads up to about [`MAX_BUFFERED_BODY`] bytes with room for them; whether that was all.
+    /// Reads a little more than [`MAX_BUFFERED_BODY`] bytes at most, reserving memory for them. Returns them,
+    /// the permit, and whether that was the complete body.
     ///
     /// # Errors
-    /// When it does not come, or there is no room for it.
+    /// If the body cannot be read or there is no memory for it.
     pub async fn read_prefix(
         &mut self,
         memory: &MemoryBudget,
@@ -130,36 +133,37 @@
     }
 }
 
-/// Guards against requests that wait for room which others hold that wait as well.
+/// Waits for memory with a timeout. Several requests may each hold part of the budget and wait for more,
+/// which without a timeout would be a deadlock.
 async fn reserve_with_timeout(
     memory: impl Future<Output = Option<MemoryPermit>>,
 ) -> Result<MemoryPermit, BodyError> {
     timeout(MEMORY_TIMEOUT, memory).await.ok().flatten().ok_or(BodyError::NoMemory)
 }
 
-/// How far a long body has come.
+/// How far a streamed body has been read.
 #[derive(Clone, Copy, PartialEq)]
 enum BodyProgress {
     Receiving,
-    /// Its last byte was read, and when.
+    /// The last byte was read at this time.
     Complete(Instant),
     Failed(BodyError),
 }
 
-/// A body that goes on as it comes.
+/// A body that is forwarded while it is received.
 pub struct StreamedRequestBody {
-    /// Kept for as long as the body can be sent again, with what it takes of the room.
+    /// The part that was read first, with its memory permit. Kept for as long as the body can be sent again.
     prefix: RefCell<(Bytes, Option<MemoryPermit>)>,
     rest: RefCell<PacedBody>,
     length: Option<u64>,
     progress: watch::Sender<BodyProgress>,
-    /// Some of the rest has been taken, so no second attempt could send it.
+    /// Part of the rest was taken, so no further attempt can send the body.
     is_spent: Cell<bool>,
     _permit: MemoryPermit,
 }
 
 impl StreamedRequestBody {
-    /// `first` has been read of it already; `length` is that of the whole, where it is known.
+    /// `prefix` has already been read; `length` is the length of the complete body, if known.
     pub fn new(
         prefix: (Bytes, Option<MemoryPermit>),
         rest: PacedBody,
@@ -177,17 +181,17 @@
         }
     }
 
-    /// What was read before it went on; nothing once some of the rest has been taken.
+    /// The part that was read before forwarding began; empty once part of the rest has been taken.
     pub fn prefix(&self) -> Bytes {
         self.prefix.borrow().0.clone()
     }
 
-    /// The length of the whole, where it is known.
+    /// Length of the complete body, if known.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// The next part of the rest, which can be had once.
+    /// The next chunk of the rest. Each chunk is returned once.
     pub fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let next = ready!(self.rest.borrow_mut().poll_data(cx));
         if next.is_some() {
@@ -199,25 +203,25 @@
         Poll::Ready(next)
     }
 
-    /// Its last byte has been read.
+    /// Records that the last byte has been read.
     pub fn mark_complete(&self) {
-        // From here on there is nothing to read, so a second attempt would send a shorter one.
+        // The rest can be read only once, so a second attempt would send a truncated body.
         self.discard_prefix();
         self.progress.send_replace(BodyProgress::Complete(Instant::now()));
     }
 
-    /// Some of the rest is gone, so the first part is of no more use either.
+    /// Frees the prefix: without the rest it is of no use.
     fn discard_prefix(&self) {
         self.is_spent.set(true);
         self.prefix.take();
     }
 
-    /// Whether no attempt can send it any more.
+    /// Whether no further attempt can send the body.
     pub fn is_spent(&self) -> bool {
         self.is_spent.get()
     }
 
-    /// When its last byte was read, if it was.
+    /// When the last byte was read, if it was.
     pub fn completed_at(&self) -> Option<Instant> {
         match *self.progress.borrow() {
             BodyProgress::Complete(at) => Some(at),
@@ -225,27 +229,27 @@
         }
     }
 
-    /// Waits until it has come whole, or never will.
+    /// Waits until the body is complete or has failed.
     pub async fn wait_until_complete(&self) -> Result<Instant, BodyError> {
         let mut progress = self.progress.subscribe();
         match progress.wait_for(|progress| *progress != BodyProgress::Receiving).await.as_deref() {
             Ok(BodyProgress::Complete(at)) => Ok(*at),
             Ok(BodyProgress::Failed(error)) => Err(*error),
-            // Its sender is here.
+            // The sender is a field of `self`, so the channel is never closed.
             _ => Err(BodyError::Incomplete),
         }
     }
 }
 
-/// The body of a request.
+/// Body of a request.
 pub enum Payload {
-    /// All of it.
+    /// The complete body.
     Buffered(Bytes),
-    /// The rest is still to come, or was not read yet.
+    /// A body of which part is still unread.
     Streamed(Box<StreamedRequestBody>),
 }
 
-/// Takes the next piece off the front of what is left.
+/// Splits the next chunk off the front of `remaining`.
 pub fn next_chunk(remaining: &mut Bytes) -> Bytes {
     remaining.split_to(remaining.len().min(CHUNK_SIZE))
 }
--- a/client-proxy/src/request_end.rs
+++ b/client-proxy/src/request_end.rs
@@ -1,5 +1,5 @@
-//! The end of a request on its connection: whether its last byte has been read, and what is left of a body that its answer
-//! did not wait for.
+//! Whether a request has been read to its last byte, and what is left of a body that its response did not
+//! wait for.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -11,11 +11,11 @@
 
 use crate::request_body::{BodyError, PacedBody, StreamedRequestBody};
 
-/// The rest of a body that nobody asks for any more.
+/// The unread rest of a body that is not needed any more.
 pub enum Unread {
-    /// Of a request that is not forwarded.
+    /// Body of a request that was not forwarded.
     PacedBody(PacedBody),
-    /// Of one that was.
+    /// Body of a request that was forwarded.
     Streamed(Box<StreamedRequestBody>),
 }
 
@@ -28,39 +28,40 @@
     }
 }
 
-/// Whether a request has been read to its end, and the rest of a body that its answer did not wait for.
+/// Tracks whether a request has been read to its end, and drains a body that its response did not wait for.
 ///
-/// Prevents requests behind such a body from being lost, and bytes of it from being taken for a request.
+/// Unless such a body is drained, requests pipelined behind it are lost, or bytes of it are parsed as a
+/// request.
 #[derive(Default)]
 pub struct RequestEnd {
     is_reached: Cell<bool>,
-    /// Nobody reads a rest that is left from now on.
+    /// Nobody drains an unread body from now on.
     is_abandoned: Cell<bool>,
     unread: RefCell<Option<Unread>>,
-    /// When the rest is given up. Only there once it is read.
+    /// Limits the time for draining; set when draining first has to wait.
     timer: RefCell<Option<Pin<Box<Sleep>>>>,
     waker: Cell<Option<Waker>>,
 }
 
 impl RequestEnd {
-    /// The last byte of the request has been read.
+    /// Records that the last byte of the request has been read.
     pub fn mark_reached(&self) {
         if !self.is_reached.replace(true) {
             self.wake();
         }
     }
 
-    /// Whether its last byte has been read.
+    /// Whether the last byte of the request has been read.
     pub fn is_reached(&self) -> bool {
         self.is_reached.get()
     }
 
-    /// Whether a rest is left that may still be read.
+    /// Whether an unread body was left that may still be drained.
     pub fn is_unread(&self) -> bool {
         self.unread.borrow().is_some()
     }
 
-    /// Leaves the rest to [`RequestEnd::poll_drain`].
+    /// Leaves the unread body to [`RequestEnd::poll_drain`].
     pub fn leave_unread(&self, unread: Unread) {
         if !self.is_abandoned.get() {
             self.unread.replace(Some(unread));
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Drops the rest, now or when it is left.
+    /// Drops the unread body, now or when it is left later.
     pub fn abandon(&self) {
         self.unread.take();
         if !self.is_abandoned.replace(true) {
@@ -76,29 +77,29 @@
         }
     }
 
-    /// The same for the task that would read it, but for what has been read of it already: its end may be
-    /// there.
+    /// As [`RequestEnd::abandon`], but first reads what hyper has already buffered: the end of the body may
+    /// be there. To be called by the task that drains, which is not woken.
     pub fn finish_buffered(&self) {
         let _ = self.poll_unread(&mut Context::from_waker(Waker::noop()));
         self.waker.take();
         self.abandon();
     }
 
-    /// Waits for `most` at the longest until the rest is left, or its last byte has been read by who still
-    /// has it. Whether the end is reached then.
+    /// Waits up to `timeout_after` for the end of the request, draining the body if it is left here. Returns
+    /// whether the end was reached.
     pub async fn wait_until_reached(&self, timeout_after: Duration) -> bool {
         let finished = std::future::poll_fn(|cx| {
             self.store_waker(cx);
             ready!(self.poll_unread(cx));
             if self.is_reached() || self.is_abandoned.get() { Poll::Ready(()) } else { Poll::Pending }
         });
-        // Past that time it counts as not read.
+        // After a timeout the end counts as not reached.
         let _ = timeout(timeout_after, finished).await;
         self.abandon();
         self.is_reached()
     }
 
-    /// Reads the rest that is left to its end and drops it, for `most` at the longest.
+    /// Drains the body that was left, for up to `timeout_after`.
     pub fn poll_drain(&self, cx: &mut Context<'_>, timeout_after: Duration) -> Poll<()> {
         self.store_waker(cx);
         if self.poll_unread(cx).is_pending() {
@@ -118,7 +119,7 @@
         self.waker.take().into_iter().for_each(Waker::wake);
     }
 
-    /// Reads what there is of it.
+    /// Reads and discards what has arrived of the body.
     fn poll_unread(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut unread = self.unread.borrow_mut();
         while let Some(rest) = &mut *unread {
--- a/client-proxy/src/request_head.rs
+++ b/client-proxy/src/request_head.rs
@@ -1,4 +1,4 @@
-//! The head of a client's request: what it says, and whether it has the form that clients send.
+//! Parsing and validation of request heads.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::headers::X_REMAINING_MS;
 use crate::request_body::BodyError;
 
-/// No client waits for longer than this.
+/// Longest client timeout that is accepted.
 const MAX_REMAINING_MS: u64 = 600_000;
 static X_TXN: HeaderName = HeaderName::from_static("x-txn");
 static X_LANE: HeaderName = HeaderName::from_static("x-lane");
@@ -21,7 +21,7 @@
 static X_LABELS: HeaderName = HeaderName::from_static("x-labels");
 static IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Why a request is not taken in.
+/// Why a request is rejected as malformed.
 #[derive(Debug, Error)]
 pub(crate) enum BadRequest {
     #[error("{0} is missing, or there more than once")]
@@ -54,14 +54,14 @@
     }
 }
 
-/// Path and query alone, also where a client names the whole address as it would to a forward proxy.
+/// Path and query only, also if the client sends the absolute form that forward proxies expect.
 pub(crate) fn origin_form(uri: hyper::Uri) -> hyper::Uri {
     uri.path_and_query().cloned().map_or_else(hyper::Uri::default, hyper::Uri::from)
 }
 
 pub(crate) fn read_remaining(headers: &HeaderMap) -> Result<Duration, BadRequest> {
     let text = single_value(headers, &X_REMAINING_MS).ok_or(BadRequest::Missing("X-Remaining-Ms"))?;
-    // Guards against a sign, which the parser would take.
+    // The integer parser would accept a leading `+`.
     let digits = Some(text).filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
     let timeout_ms: u64 = digits.and_then(|digits| digits.parse().ok()).ok_or(BadRequest::Remaining)?;
     if timeout_ms == 0 || timeout_ms > MAX_REMAINING_MS {
@@ -71,15 +71,15 @@
     }
 }
 
-/// What a header says that stands there once; nothing where two of them may say different things.
+/// Value of a header that occurs exactly once. Of two occurrences that might differ, neither can be trusted.
 fn single_value<'h>(headers: &'h HeaderMap, name: &HeaderName) -> Option<&'h str> {
     let mut values = headers.get_all(name).iter();
     let only = values.next().filter(|_| values.next().is_none());
     only.and_then(|value| value.to_str().ok()).map(str::trim)
 }
 
-/// Checks that a request has the form that clients send, and no other: an endpoint that is sent anything
-/// else has been sent what no client asked for.
+/// Validates a request head and extracts its metadata. Only requests of the documented form are accepted:
+/// forwarding anything else could give an endpoint a request that the client did not intend.
 pub(crate) fn read_metadata(
     method: &Method,
     path: &str,
@@ -94,7 +94,8 @@
         return Err(BadRequest::Path);
     }
     let keyed = headers.contains_key(&IDEMPOTENCY_KEY);
-    // Guards against a repeat of what its client does not hold safe to repeat.
+    // The balancer retries by the effect that the class declares. A request whose method or key does not fit
+    // its class might not be safe to retry.
     let is_allowed = match context.settings.classes[class].effect {
         Effect::Safe => *method == Method::GET,
         Effect::Keyed { .. } => {
@@ -118,7 +119,7 @@
         tenant,
         is_retry: single_value(headers, &X_RESENT) == Some("1"),
         is_write: labels.any(|(name, value)| name == "update" && matches!(value, "1" | "true")),
-        // Microseconds there, milliseconds here.
+        // The header is in microseconds, the balancer uses milliseconds.
         size_hint: single_value(headers, &X_ESTIMATE)
             .and_then(|us| us.parse::<f64>().ok())
             .map(|us| us / 1e3),
@@ -126,7 +127,7 @@
     })
 }
 
-/// The cookie that says what the request is about.
+/// The object that the request concerns, from its cookie.
 fn read_key(headers: &HeaderMap) -> Option<String> {
     let cookies = headers.get_all(hyper::header::COOKIE).iter().filter_map(|value| value.to_str().ok());
     let mut pairs = cookies.flat_map(|line| line.split(';')).filter_map(|pair| pair.split_once('='));
--- a/client-proxy/src/shutdown.rs
+++ b/client-proxy/src/shutdown.rs
@@ -1,39 +1,41 @@
-//! The steps of a planned end after SIGTERM, in order of time. Each is a token that others wait for or look
-//! at.
+//! The phases of a graceful shutdown after SIGTERM, in order of time. Each phase is a token that other tasks
+//! wait for or check.
 
 use std::time::Duration;
 
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// After SIGTERM new connections go on coming for up to 0.4 s; they are accepted for so long. Where the next
-/// process accepts them, requests still come over those that are open.
+/// How long new connections are accepted after SIGTERM: they go on arriving for up to 0.4 s. If another
+/// process accepts connections from then on, requests still arrive on those already open.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// SIGKILL may come the longest deadline, counted as this much where it is longer, plus 0.7 s after SIGTERM.
+/// SIGKILL may arrive 0.7 s plus the longest deadline of the deployment after SIGTERM; a deadline longer than
+/// this counts as this.
 const MAX_DEADLINE_WAIT: Duration = Duration::from_secs(3);
-/// How long clients have to read their last answers. Guards against an exit that cuts off a long response
-/// which SIGKILL might have left more time.
+/// How long clients have to read their last responses after the last phase. A shorter wait would cut off long
+/// responses that the platform might not have killed yet.
 const READ_PERIOD: Duration = Duration::from_secs(5);
 
-/// What has come of a planned end so far.
+/// The phases that a graceful shutdown has reached.
 #[derive(Clone, Default)]
 pub struct Shutdown {
-    /// SIGTERM has come: this process ends soon, and another one may accept clients.
+    /// SIGTERM was received: this process exits soon, and another one may accept clients.
     pub terminating: CancellationToken,
     /// No further connection is accepted, and connections are closed as they become idle.
     pub draining: CancellationToken,
-    /// This process may be killed any moment now: whatever waits for a final answer gets one at once.
+    /// SIGKILL may arrive at any moment: every request that still waits gets its final response now.
     pub kill_imminent: CancellationToken,
 }
 
 impl Shutdown {
-    /// Goes through all steps, `longest` being the longest deadline of the deployment. Returns when the
-    /// process has to exit, whatever is still open.
+    /// Runs all phases. `longest_deadline` is the longest request deadline of the deployment. Returns when
+    /// the process has to exit, whatever connections are still open.
     pub async fn run(&self, longest_deadline: Duration) {
         self.terminating.cancel();
         sleep(ACCEPT_PERIOD).await;
         self.draining.cancel();
-        // 0.2 s before the earliest kill: the process may be held up for 0.15 s before it writes.
+        // Ends 0.2 s before the earliest SIGKILL; the process may be stalled for 0.15 s before it writes the
+        // responses.
         sleep(longest_deadline.min(MAX_DEADLINE_WAIT)).await;
         self.kill_imminent.cancel();
         sleep(READ_PERIOD).await;
--- a/client-proxy/src/socket_budget.rs
+++ b/client-proxy/src/socket_budget.rs
@@ -1,29 +1,30 @@
-//! How many sockets may be open: a budget that keeps the process below its limit of descriptors.
+//! Budget of open sockets, which keeps the process below its descriptor limit.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// Descriptors for standard streams, the listener, the runtime, signals and discovery.
+/// Descriptors for the standard streams, the listener, the runtime, signals and discovery.
 const RESERVED_DESCRIPTORS: usize = 24;
 
-/// However small the part: room for a few requests.
+/// Sockets that are allowed at least, however low the share: enough for a few requests.
 const MIN_SOCKETS: usize = 8;
 
-/// Neither clients nor endpoints get more than this part: a request needs a place on both sides.
+/// Clients and endpoints may each use at most this fraction of the budget: a request needs a socket on both
+/// sides.
 const MAX_SIDE_SHARE: (usize, usize) = (3, 4);
 
-/// Which side a connection is on.
+/// Side of the proxy that a connection belongs to.
 #[derive(Clone, Copy)]
 pub enum Side {
-    /// It came from a client.
+    /// Accepted from a client.
     Client,
-    /// It goes to an endpoint.
+    /// Opened to an endpoint.
     Upstream,
 }
 
-/// How many sockets may be open, shared by clients and endpoints.
+/// Budget of open sockets, shared by clients and endpoints.
 pub struct SocketBudget {
     limit: usize,
     reserved: usize,
@@ -33,7 +34,7 @@
 }
 
 impl SocketBudget {
-    /// A budget below `limit` descriptors, of which `apart` are for other uses.
+    /// A budget within `limit` descriptors, of which `reserved` are for other uses.
     pub fn new(limit: usize, reserved: usize) -> Rc<SocketBudget> {
         let (reserved, max_open) = (RESERVED_DESCRIPTORS + reserved, Cell::new(0));
         let sockets =
@@ -42,7 +43,7 @@
         Rc::new(sockets)
     }
 
-    /// A place for one more connection, if there is one for that side.
+    /// Takes a slot for one more connection, if one is free for that side.
     pub fn try_acquire(self: &Rc<Self>, side: Side) -> Option<SocketPermit> {
         let used = &self.used[side as usize];
         if self.is_full() || used.get() >= self.max_open.get() * MAX_SIDE_SHARE.0 / MAX_SIDE_SHARE.1 {
@@ -52,7 +53,7 @@
         Some(SocketPermit { sockets: Rc::clone(self), side })
     }
 
-    /// Keeps within the part of the limit that one of so many processes has.
+    /// Reduces the budget to the share of one of `processes` processes.
     pub fn split_among(&self, processes: usize) {
         let allowed = (self.limit / processes.max(1)).saturating_sub(self.reserved).max(MIN_SOCKETS);
         if allowed > self.max_open.replace(allowed) {
@@ -60,23 +61,23 @@
         }
     }
 
-    /// Whether more are open than the part of the limit allows.
+    /// Whether more sockets are open than the budget allows.
     pub fn is_exceeded(&self) -> bool {
         self.used[0].get() + self.used[1].get() > self.max_open.get()
     }
 
-    /// Whether there is no place for either side.
+    /// Whether no slot is free for either side.
     pub fn is_full(&self) -> bool {
         self.used[0].get() + self.used[1].get() >= self.max_open.get()
     }
 
-    /// Waits until a place has become free.
+    /// Waits until a slot has become free.
     pub async fn slot_freed(&self) {
         self.slot_freed.notified().await;
     }
 }
 
-/// One place in the budget; free again when dropped.
+/// One slot of the budget; released on drop.
 pub struct SocketPermit {
     sockets: Rc<SocketBudget>,
     side: Side,
