--- a/client-proxy/src/upstream_request.rs
+++ b/client-proxy/src/upstream_request.rs
@@ -1,4 +1,4 @@
-//! What a client wants done, and its body on the way to an endpoint.
+//! A client's request in the form in which attempts send it to endpoints.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -16,19 +16,19 @@
 use crate::request_body::{BodyError, CHUNK_SIZE, Payload, StreamedRequestBody};
 use crate::request_end::{RequestEnd, Unread};
 
-/// A client that is still there has some time left, at least 0. Passing so much more than is known to be left
-/// stays within the 150 ms by which a passed deadline may be too long, with room for a process that is held
-/// up for a moment.
+/// A client that is still connected has at least 0 ms left. The deadline passed to an endpoint may be up to
+/// 150 ms too long; this is the part of it that may be passed beyond the remaining time that is certain, so
+/// that 50 ms are left for a process that is stalled for a moment.
 const DEADLINE_SLACK: Duration = Duration::from_millis(100);
 
-/// The body of a request that goes on. Leaves what was not read of it to whoever ends the request.
+/// Body of a forwarded request. On drop it leaves the unread rest to `RequestEnd`.
 pub struct RequestBody {
     payload: Payload,
     end: Rc<RequestEnd>,
 }
 
 impl RequestBody {
-    /// `end` is told when all of it has been read.
+    /// `end` is notified when the body has been read completely.
     pub fn new(payload: Payload, end: Rc<RequestEnd>) -> RequestBody {
         RequestBody { payload, end }
     }
@@ -43,31 +43,32 @@
     }
 }
 
-/// What a client wants done, as it is passed on.
+/// A client's request, as it is forwarded.
 pub struct UpstreamRequest {
     /// Unchanged from the client.
     pub method: Method,
     /// Path and query, unchanged.
     pub uri: Uri,
-    /// All that is meant for the endpoint.
+    /// End-to-end headers.
     pub headers: HeaderMap,
     /// Unchanged from the client.
     pub body: RequestBody,
-    /// When its head, or all of a body that was read whole, had come.
+    /// When the head, or the last byte of a buffered body, was received.
     pub received_at: Instant,
-    /// It was not sent whole before this, as far as known; `came` or earlier. The rest of a body that still
-    /// comes may have been with the system for as long.
+    /// The earliest time at which the client may have sent the end of what has been read; `received_at` or
+    /// earlier. The rest of a streamed body may have been in the socket buffer just as long.
     pub sent_after: Instant,
-    /// How long the client waits from its last byte on.
+    /// How long the client waits, counted from the last byte of its request.
     pub client_timeout: Duration,
-    /// The connection that it came over.
+    /// Connection of the client.
     pub client: Option<Rc<MonitoredStream>>,
-    /// How long a connection had been idle over which an attempt of it brought nothing.
+    /// How long a connection had been idle on which an attempt of this request failed without a response
+    /// byte.
     pub suspect_idle_time: Cell<Option<Duration>>,
 }
 
 impl UpstreamRequest {
-    /// One that says nothing, of a client that waits from now on.
+    /// An empty request of a client that waits from now on.
     #[cfg(test)]
     pub fn empty(client_timeout: Duration) -> UpstreamRequest {
         let (method, uri, headers) = Default::default();
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The body, if it goes on as it comes.
+    /// The body, if it is streamed.
     pub fn streamed_body(&self) -> Option<&StreamedRequestBody> {
         match &self.body.payload {
             Payload::Buffered(_) => None,
@@ -92,26 +93,26 @@
         }
     }
 
-    /// When the client's time is up; not known while its body comes.
+    /// The client's deadline; not known before a streamed body is complete.
     pub fn deadline(&self) -> Option<Instant> {
         let completed_at =
             self.streamed_body().map_or(Some(self.received_at), StreamedRequestBody::completed_at);
         completed_at.map(|completed_at| completed_at + self.client_timeout)
     }
 
-    /// The deadline that an attempt beginning now is passed, in whole milliseconds: what is left to the
-    /// client, or until `until` if that is sooner.
+    /// Remaining time, in whole milliseconds, to pass to an attempt that begins now: up to the client's
+    /// deadline or `until`, whichever is earlier.
     pub fn remaining_ms(&self, until: Option<Instant>) -> u64 {
         let now = Instant::now();
         let latest = until.into_iter().chain(self.deadline()).min();
         let remaining = latest.map_or(self.client_timeout, |latest| latest.saturating_duration_since(now));
-        // Prevents a deadline that leaves out how long the request lay unread: before its connection was
-        // taken in, or behind the answer to the one before.
+        // The request may have been unread for a while, before its connection was accepted or behind the
+        // previous response, and the client's timeout counted down meanwhile.
         let certain = (self.sent_after + self.client_timeout).saturating_duration_since(now);
         remaining.min(certain.max(DEADLINE_SLACK)).as_millis() as u64
     }
 
-    /// Waits until the client's time is up. Never, if its body does not come whole.
+    /// Waits until the client's deadline. Never completes if the body fails.
     pub async fn deadline_passed(&self) {
         if let Some(body) = self.streamed_body()
             && body.wait_until_complete().await.is_err()
@@ -123,19 +124,19 @@
         }
     }
 
-    /// Whether the client has closed its side by now, asked of the system at this moment: nothing new is sent
-    /// for it.
+    /// Whether the client has closed its writing side, asked of the system now. No further attempt is sent
+    /// then.
     pub fn is_abandoned(&self) -> bool {
         self.client.as_ref().is_some_and(|client| client.query_hang_up().is_some())
     }
 
-    /// Whether an attempt may begin at this moment: its client waits, and has time left.
+    /// Whether an attempt may begin now: the client is connected and has time left.
     pub fn may_begin(&self) -> bool {
         let in_time = self.deadline().is_none_or(|deadline| Instant::now() < deadline);
         in_time && !self.is_abandoned()
     }
 
-    /// Waits until the client has closed its side, with all of its request sent.
+    /// Waits until the client closes its writing side after its complete request.
     pub async fn client_hung_up(&self) -> HangUp {
         if let Some(body) = self.streamed_body()
             && body.wait_until_complete().await.is_err()
@@ -148,13 +149,13 @@
         }
     }
 
-    /// Whether its body cannot be sent again.
+    /// Whether the body cannot be sent again.
     pub fn is_body_spent(&self) -> bool {
         self.streamed_body().is_some_and(StreamedRequestBody::is_spent)
     }
 }
 
-/// The body of one attempt.
+/// Body of one attempt.
 pub struct AttemptBody {
     request: Rc<UpstreamRequest>,
     yielded: u64,
@@ -162,7 +163,7 @@
 }
 
 impl AttemptBody {
-    /// Tells `watched` when all of the body has been handed to the writer.
+    /// Tells `stream` when the complete body has been handed to the writer.
     pub fn new(request: Rc<UpstreamRequest>, stream: Rc<MonitoredStream>) -> AttemptBody {
         let attempt_body = AttemptBody { request, yielded: 0, stream };
         if attempt_body.is_end_stream() {
@@ -171,7 +172,7 @@
         attempt_body
     }
 
-    /// The next piece of what is held in memory.
+    /// The next chunk of the part that is in memory.
     fn next_buffered_chunk(&mut self, buffered: &Bytes) -> Option<Bytes> {
         let from = usize::try_from(self.yielded).ok().filter(|from| *from < buffered.len())?;
         let chunk = buffered.slice(from..buffered.len().min(from + CHUNK_SIZE));
