--- a/client-proxy/src/clients/response_body.rs
+++ b/client-proxy/src/clients/response_body.rs
@@ -86,7 +86,7 @@
         }
         let error = self.error.take();
         if let (Some(error), Some(recorder)) = (&error, self.recorder.take()) {
-            eprintln!("client-proxy: an answer broke off: {error}");
+            eprintln!("client-proxy: response truncated: {error}");
             recorder.record_truncated();
         }
         Poll::Ready(error.map(Err))
--- a/client-proxy/src/config.rs
+++ b/client-proxy/src/config.rs
@@ -121,17 +121,18 @@
         if sockets < MIN_SOCKETS {
             return Err(invalid_field(
                 "limits.sockets",
-                &format!("{sockets} are too few, {MIN_SOCKETS} are needed"),
+                &format!("{sockets} is too low, at least {MIN_SOCKETS} are required"),
             ));
         }
         let memory_mb = file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB as f64);
         if !(1.0..1e9).contains(&memory_mb) {
-            return Err(invalid_field("limits.memory_mb", &format!("{memory_mb} is no memory to work in")));
+            return Err(invalid_field("limits.memory_mb", &format!("{memory_mb} is out of range")));
         }
         // Only the documented form is accepted: a fallback for other forms would give all processes the same
         // fixed seed.
         let seed = file.seed.ok_or_else(|| invalid_field("seed", "is missing"))?;
-        let seed = u64::from_str_radix(&seed, 16).map_err(|_| invalid_field("seed", "is not hex digits"))?;
+        let seed = u64::from_str_radix(&seed, 16)
+            .map_err(|_| invalid_field("seed", "is not a hexadecimal number"))?;
         let names = Names {
             classes: file.settings.classes.iter().map(|class| class.name.clone()).collect(),
             tenants: file.settings.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
@@ -144,7 +145,7 @@
         let settings = convert_settings(file.settings);
         settings.validate()?;
         if settings.classes.iter().any(|class| class.streamed) {
-            return Err(invalid_field("settings.classes", "streamed classes are not served by this program"));
+            return Err(invalid_field("settings.classes", "streamed classes are not supported"));
         }
         let admin = overrides.admin.or(file.admin_addr).map(|text| address(Some(text), None, "admin_addr"));
         Ok(Config {
--- a/client-proxy/src/discovery.rs
+++ b/client-proxy/src/discovery.rs
@@ -118,7 +118,7 @@
                 self.driver.apply_endpoint_update(EndpointUpdate::CachedSnapshot(entries));
                 has_cached_list = true;
             }
-            Some(Err(error)) => eprintln!("client-proxy: known: not a list, so left out: {error}"),
+            Some(Err(error)) => eprintln!("client-proxy: cached endpoint list ignored: {error}"),
             None => {}
         }
         if !has_cached_list {
@@ -217,14 +217,12 @@
         self.connection = Some(conn);
         if self.failing {
             self.failing = false;
-            eprintln!("client-proxy: discovery answers again");
+            eprintln!("client-proxy: discovery responds again");
         }
         let (index, update, empty_watch) = match response {
             ListResponse::Applied { index, update, empty_watch } => (index, update, empty_watch),
             ListResponse::Rejected { index } => {
-                eprintln!(
-                    "client-proxy: discovery: version {index} does not follow what is held: asking for all of it"
-                );
+                eprintln!("client-proxy: discovery: version {index} rejected: fetching a full snapshot");
                 sleep(MIN_POLL_INTERVAL).await;
                 return Ok(());
             }
@@ -254,7 +252,7 @@
 
     fn log_problems(&self) {
         for problem in self.subscription.entry_errors() {
-            eprintln!("client-proxy: discovery: an entry is left out: {problem}");
+            eprintln!("client-proxy: discovery: endpoint entry ignored: {problem}");
         }
     }
 
@@ -270,7 +268,7 @@
     fn record_failure(&mut self, error: &PollError) -> Duration {
         if !self.failing {
             self.failing = true;
-            eprintln!("client-proxy: discovery: {error}");
+            eprintln!("client-proxy: discovery poll failed: {error}");
         }
         self.subscription.on_failure(error.is_invalid_response())
     }
--- a/client-proxy/src/discovery/source_selector.rs
+++ b/client-proxy/src/discovery/source_selector.rs
@@ -48,7 +48,7 @@
             Some((sources, authority)) => (sources.address(), authority.clone()),
             None => {
                 let endpoint = address.to_string().parse();
-                (address, endpoint.expect("an address is a header value"))
+                (address, endpoint.expect("a socket address is a valid header value"))
             }
         }
     }
--- a/client-proxy/src/driver/actions.rs
+++ b/client-proxy/src/driver/actions.rs
@@ -53,7 +53,9 @@
             // The balancer does not use these actions at present. Should that change, the log has to show
             // that they are missing here.
             Action::Probe { .. } | Action::SendToPeer { .. } => {
-                eprintln!("client-proxy: probes and messages to peers are not carried out");
+                eprintln!(
+                    "client-proxy: balancer action ignored: probes and peer messages are not implemented"
+                );
             }
         }
     }
--- a/client-proxy/src/driver/response_ticket.rs
+++ b/client-proxy/src/driver/response_ticket.rs
@@ -78,7 +78,7 @@
             error = body_failed => return Err(error),
             outcome = &mut self.outcome => outcome.unwrap_or(FinalOutcome::Failed),
             _ = pending_response.overdue() => {
-                eprintln!("client-proxy: a request was left without an answer until its time was up");
+                eprintln!("client-proxy: request timed out: no response from the balancer by the deadline");
                 FinalOutcome::Failed
             }
             error = disconnected => return Err(error),
--- a/client-proxy/src/endpoint_pool/response.rs
+++ b/client-proxy/src/endpoint_pool/response.rs
@@ -63,7 +63,7 @@
     #[error("{0}")]
     Http(#[from] hyper::Error),
     /// The endpoint stalled.
-    #[error("the rest of the answer did not come in time")]
+    #[error("endpoint stalled: timed out waiting for the rest of the response")]
     Stalled,
 }
 
--- a/client-proxy/src/fleet_config.rs
+++ b/client-proxy/src/fleet_config.rs
@@ -76,18 +76,18 @@
         })?;
         if let Some(Zones { own, regions }) = &config.zones {
             if regions.is_empty() {
-                return Err(invalid("zones.regions", "names no zone"));
+                return Err(invalid("zones.regions", "lists no zone"));
             }
             if own.as_ref().is_some_and(|own| !regions.contains_key(own)) {
-                return Err(invalid("zones.own", "is not among zones.regions"));
+                return Err(invalid("zones.own", "is not listed in zones.regions"));
             }
         }
         if let Some(Relays { near, authority, .. }) = &config.discovery {
             if near.is_empty() {
-                return Err(invalid("discovery.near", "names no relay"));
+                return Err(invalid("discovery.near", "lists no relay"));
             }
             if authority.parse::<Authority>().is_err() {
-                return Err(invalid("discovery.authority", "is no authority"));
+                return Err(invalid("discovery.authority", "is not a valid authority"));
             }
         }
         Ok(config)
--- a/client-proxy/src/inherit.rs
+++ b/client-proxy/src/inherit.rs
@@ -20,22 +20,22 @@
 /// What is wrong with the descriptor, which is then left open or closed.
 pub fn inherited_listener(text: &str, address: SocketAddr) -> io::Result<TcpListener> {
     let invalid = |problem: &str| io::Error::other(format!("{INHERITED_FD_VARIABLE}: {text:?} {problem}"));
-    let fd: RawFd = text.parse().map_err(|_| invalid("is no number of a descriptor"))?;
+    let fd: RawFd = text.parse().map_err(|_| invalid("is not a descriptor number"))?;
     if fd < MIN_PASSABLE_FD {
-        return Err(invalid("is not a descriptor that can be passed on"));
+        return Err(invalid("is not an inheritable descriptor"));
     }
     let link = fs::read_link(format!("/proc/self/fd/{fd}")).map_err(|_| invalid("is not open"))?;
     if !link.to_string_lossy().starts_with("socket:") {
-        return Err(invalid("is no socket"));
+        return Err(invalid("is not a socket"));
     }
     let socket = adopt(fd);
     if socket.r#type()? != Type::STREAM || !socket.is_listener()? {
-        return Err(invalid("does not listen"));
+        return Err(invalid("is not a listening socket"));
     }
     let bound = socket.local_addr()?.as_socket();
     // With port 0 in the configuration whoever created the socket has chosen the port.
     if bound.is_none_or(|bound| bound != address && (address.port() != 0 || bound.ip() != address.ip())) {
-        return Err(invalid(&format!("listens elsewhere than on {address}")));
+        return Err(invalid(&format!("does not listen on {address}")));
     }
     socket.set_nonblocking(true)?;
     Ok(socket.into())
--- a/client-proxy/src/main.rs
+++ b/client-proxy/src/main.rs
@@ -181,12 +181,12 @@
             _ = interrupt.recv() => break,
             _ = hangup.recv() => match Config::reread_discovery() {
                 Ok(address) => {
-                    eprintln!("client-proxy: {name} finds discovery at {address}");
+                    eprintln!("client-proxy: {name}: configuration reloaded: discovery address is {address}");
                     discovery_address.send_replace(address);
                 }
                 // An unreadable file does not stop the proxy, and the old address may still respond, so it is
                 // kept.
-                Err(error) => eprintln!("client-proxy: {name} keeps discovery where it was: {error}"),
+                Err(error) => eprintln!("client-proxy: {name}: reload failed, discovery unchanged: {error}"),
             },
             result = &mut accept_loop => return result.map_err(std::io::Error::other),
         }
@@ -196,7 +196,7 @@
         _ = accept_loop => return Ok(()),
         _ = shutdown.run(duration_from_ms(longest_deadline)) => {}
     }
-    eprintln!("client-proxy: {name} ends with clients that have not read their answers");
+    eprintln!("client-proxy: {name}: shutdown timed out: closing connections with unread responses");
     Ok(())
 }
 
@@ -215,7 +215,7 @@
     // state is loaded could send requests to a disabled endpoint.
     let is_read_in_time = timeout(STATE_FOLDER_TIMEOUT, &mut initial_read).await.is_ok();
     if !is_read_in_time {
-        eprintln!("client-proxy: the folder does not answer: begins without what an earlier process left");
+        eprintln!("client-proxy: state folder timed out: starting without the state of an earlier process");
     }
     let mut has_logged_failure = false;
     let mut is_registered =
@@ -224,7 +224,7 @@
     started.cancel();
     if !is_read_in_time {
         initial_read.await;
-        eprintln!("client-proxy: the folder answers again");
+        eprintln!("client-proxy: state folder responds again");
         driver.apply_operator_overrides();
     }
     if !listener_shared {
@@ -245,7 +245,7 @@
 async fn register_process(process_state: &ProcessState, has_logged_failure: &mut bool) -> bool {
     let Err(error) = process_state.register_process().await else { return true };
     if !std::mem::replace(has_logged_failure, true) {
-        eprintln!("client-proxy: this process is not entered in the folder yet: {error}");
+        eprintln!("client-proxy: cannot register this process in the state file, retrying: {error}");
     }
     false
 }
--- a/client-proxy/src/process_state/state_file.rs
+++ b/client-proxy/src/process_state/state_file.rs
@@ -134,9 +134,11 @@
         };
         Ok(match &state.owner {
             _ if state.version != VERSION => {
-                Contents::Unusable(format!("it is of version {}, not {VERSION}", state.version))
+                Contents::Unusable(format!("format version {}, expected {VERSION}", state.version))
+            }
+            Some(owner) if *owner != self.owner => {
+                Contents::Unusable(format!("written by another client proxy or deployment: {owner}"))
             }
-            Some(owner) if *owner != self.owner => Contents::Unusable(format!("it belongs to {owner}")),
             _ => {
                 let known = (&known.enabled_unix_ms, &known.enabled_at);
                 state.enabled_at.reconcile(
