--- a/balancer/tests/common/rig.rs
+++ b/balancer/tests/common/rig.rs
@@ -49,7 +49,7 @@
     pub balancer: Balancer,
     /// The virtual time, in milliseconds.
     pub now: f64,
-    /// All endpoints that the balancer has been notified of and has not forgotten.
+    /// All endpoints that the balancer was notified of and whose identifiers it has not released.
     pub endpoint_list: BTreeMap<EndpointId, EndpointEntry>,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
     /// Time and token of each pending timer.
@@ -172,11 +172,11 @@
                     .endpoint_list
                     .remove(endpoint)
                     .is_none_or(|entry| entry.state == EndpointState::Removed);
-                assert!(removed, "forgot an endpoint that is still in the list");
+                assert!(removed, "released the identifier of an endpoint that is still in the list");
                 let open = self.requests.values().filter(|request| request.final_outcome.is_none());
                 let refers =
                     open.flat_map(|request| &request.attempts).any(|attempt| attempt.endpoint == *endpoint);
-                assert!(!refers, "forgot an endpoint to which an open request was sent");
+                assert!(!refers, "released the identifier of an endpoint to which an open request was sent");
             }
             Action::Watch | Action::Fetch | Action::Log(_) => {}
         }
@@ -192,6 +192,7 @@
         request.ended_at = now;
     }
 
+    /// Passes an update of the endpoint list to the balancer.
     pub fn update_endpoints(&mut self, update: EndpointUpdate) -> Vec<Action> {
         match &update {
             EndpointUpdate::Changes(entries) => {
--- a/balancer/tests/four_rules.rs
+++ b/balancer/tests/four_rules.rs
@@ -139,7 +139,7 @@
 }
 
 /// A request of which no attempt can be sent must still get its final response before the deadline, and soon
-/// after its client has closed its sending side. Nothing must be sent for it afterwards.
+/// after its client has half-closed the connection. Nothing must be sent for it afterwards.
 #[test]
 fn never_sent_request_ends_by_deadline() {
     let mut harness = Harness::new(settings(), endpoints(3));
@@ -163,7 +163,7 @@
         }
         assert_eq!(harness.requests[&id].final_outcome, Some(FinalOutcome::Rejected));
         harness.advance(1000.0);
-        assert!(harness.requests[&id].attempts.len() <= before + 1, "sent after its client closed");
+        assert!(harness.requests[&id].attempts.len() <= before + 1, "sent after its client half-closed");
     }
 }
 
--- a/balancer/tests/random_events.rs
+++ b/balancer/tests/random_events.rs
@@ -134,7 +134,7 @@
                     }
                 }
             }
-            // Now and then, long enough for removed endpoints to be forgotten.
+            // Now and then, long enough for removed endpoints to be dropped.
             28 if below(&mut rng, 20) == 0 => harness.advance(61_000.0),
             _ => harness.advance(f64::from(below(&mut rng, 30))),
         }
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,7 +1,8 @@
 //! The messages of the simulator's protocol. Each message is one line of JSON; unknown fields are ignored.
 //!
 //! The names in the JSON are fixed by the simulator; variants and fields are named in the balancer's terms
-//! here and keep the outer names by `#[serde(rename)]`. All times are in milliseconds.
+//! here and keep the outer names by `#[serde(rename)]`. All times are in milliseconds. `proxy` is the number
+//! of a balancer; an adapter can run several.
 
 use std::borrow::Cow;
 
@@ -29,7 +30,8 @@
     },
     #[serde(rename = "DESTROY")]
     StopBalancer { proxy: u32 },
-    /// Sets the content of an endpoint list, to which [`EndpointUpdate`](Incoming::EndpointUpdate) refers.
+    /// Sets the content of an endpoint list, or of an update, to which
+    /// [`EndpointUpdate`](Incoming::EndpointUpdate) refers.
     #[serde(rename = "POOL")]
     EndpointList {
         #[serde(rename = "rosterId")]
