--- a/balancer/tests/admission.rs
+++ b/balancer/tests/admission.rs
@@ -105,7 +105,7 @@
         let mut harness = Harness::with_seed(settings, endpoints(3), seed);
         run_load(&mut harness, 10_000.0, 100.0, |_, _| (900.0, Outcome::Served));
         assert!(harness.rejections() > 30, "{}", harness.rejections());
-        // With little traffic the overload signal covers a longer time, so this takes some seconds.
+        // With little traffic the overload signal has a longer time constant, so this takes some seconds.
         run_load(&mut harness, 12_000.0, 1000.0, |_, _| (20.0, Outcome::Served));
         let before = harness.rejections();
         run_load(&mut harness, 8000.0, 1000.0, |_, _| (20.0, Outcome::Served));
@@ -148,10 +148,10 @@
     assert!(rejected_shares[0] > 0.2 && rejected_shares[1] > 0.2, "{rejected_shares:?}");
 }
 
-/// By priority weight alone, one class bears nearly all rejections. If the goal also counts the class that is
-/// served worst, both classes are shed alike.
+/// By priority weight alone, one class bears nearly all rejections. If the class that is served worst has an
+/// objective weight of its own, both classes are shed alike.
 #[test]
-fn worst_class_goal_equalizes_shedding() {
+fn worst_class_weight_equalizes_shedding() {
     let mut settings = settings();
     settings.classes.push(Class { priority_weight: 3.0, ..class(Effect::Safe) });
     let rejected_shares = overload(settings.clone(), |step| (step % 2, step % 2, false));
@@ -161,7 +161,7 @@
     let rejected_shares = overload(settings, |step| (step % 2, step % 2, false));
     assert!(
         (rejected_shares[0] - rejected_shares[1]).abs() < 0.1,
-        "with the worst class in the goal: {rejected_shares:?}"
+        "with a weight for the worst class: {rejected_shares:?}"
     );
 }
 
@@ -184,8 +184,8 @@
     assert_eq!(harness.request_burst(12, |_| {}).len(), 12);
 }
 
-/// The overload signal of a busy balancer covers 400 ms. With one request every 500 ms, such a window would
-/// never hold an earlier response, and the balancer would not notice the overload.
+/// The overload signal of a busy balancer has a time constant of 400 ms. With one request every 500 ms, it
+/// would retain next to nothing of earlier responses, and the balancer would not notice the overload.
 #[test]
 fn low_traffic_balancer_detects_overload() {
     let mut settings = settings();
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn unsafe_requests_avoid_endpoint_on_probation() {
+fn unsafe_requests_avoid_half_open_endpoint() {
     let mut settings = settings();
     settings.classes.push(class(Effect::Unsafe));
     let mut harness = Harness::new(settings, endpoints(4));
     run_load(&mut harness, 1000.0, 5.0, |_, _| (20.0, Outcome::Served));
     run_load(&mut harness, 1000.0, 5.0, first_endpoint_fails);
-    harness.advance(1500.0); // the ejection has ended, the probation has not
+    harness.advance(1500.0); // the ejection has ended, and the endpoint is half-open
     for _ in 0..40 {
         let id = harness.request(1);
         assert_ne!(harness.endpoint_of(id, 0), EndpointId(1));
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -87,8 +87,8 @@
         let far = (1..=4).map(|id| EndpointEntry { zone: 1, ..endpoint(id) });
         let mut harness = Harness::new(settings, far.collect());
         let settled = harness.now + 3000.0;
-        let sends = harness.run_with_starting_endpoint(3000, 2.0, (1000, endpoint(9)), |h| {
-            if h == EndpointId(9) { latency } else { 60.0 }
+        let sends = harness.run_with_starting_endpoint(3000, 2.0, (1000, endpoint(9)), |endpoint| {
+            if endpoint == EndpointId(9) { latency } else { 60.0 }
         });
         sends.iter().filter(|(at, endpoint)| *at >= settled && *endpoint == EndpointId(9)).count()
     };
