--- a/balancer/src/endpoint/connections.rs
+++ b/balancer/src/endpoint/connections.rs
@@ -1,4 +1,4 @@
-//! Connections and attempts in flight to one endpoint, as far as this balancer knows.
+//! Connections and attempts in flight to one endpoint, as far as this balancer can tell from events.
 
 use crate::decaying_mean::DecayingMean;
 use crate::interface::{Millis, Outcome};
@@ -8,34 +8,35 @@
 pub(crate) struct Connections {
     /// Attempts in flight.
     pub(crate) in_flight: u32,
-    /// Connections that ought to be open, with those that are still being made.
+    /// Connections that are presumably open, including those being established.
     pub(crate) open: u32,
-    /// Those among them that are still being made.
+    /// Connections being established.
     pub(crate) connecting: u32,
-    /// When one of them last became idle.
+    /// When an attempt last ended and left its connection idle.
     pub(crate) last_idle_at: Millis,
-    /// 1 for each connection that could not be made, 0 for each that was.
+    /// 1 for each connection that failed, 0 for each that was established.
     pub(crate) failures: DecayingMean,
 }
 
 impl Connections {
-    /// Those that are left to a new process on the same endpoint: attempts in flight end as they would have.
+    /// The state after a restart of the endpoint's process: attempts in flight still end with an event, and
+    /// idle connections are closed.
     pub(crate) fn after_restart(&self) -> Connections {
         let Connections { in_flight, connecting, .. } = *self;
         Connections { in_flight, connecting, open: in_flight, ..Connections::default() }
     }
 
-    /// Whether an open connection can carry one more attempt, where each carries `streams` at a time.
+    /// Whether an open connection can carry another attempt, with `streams` per connection.
     pub(crate) fn has_capacity(&self, streams: u32) -> bool {
         self.in_flight < self.open.saturating_mul(streams)
     }
 
-    /// Whether some connection is established at present.
+    /// Whether at least one connection is established.
     pub(crate) fn is_connected(&self) -> bool {
         self.open > self.connecting
     }
 
-    /// Begins an attempt; whether it has to open a connection.
+    /// Records the start of an attempt. Returns whether it has to open a connection.
     pub(crate) fn begin_attempt(&mut self, streams: u32) -> bool {
         let connects = !self.has_capacity(streams);
         self.open += u32::from(connects);
@@ -44,19 +45,19 @@
         connects
     }
 
-    /// Ends an attempt. If it had to open a connection and it is known how that went: 1 where it failed, else
-    /// 0.
-    pub(crate) fn end_attempt(&mut self, connected: bool, outcome: Outcome) -> Option<f64> {
+    /// Records the end of an attempt. Returns 1 if the connection that it had to open failed, 0 if it was
+    /// established, and `None` if it opened none or the result is not known.
+    pub(crate) fn end_attempt(&mut self, opened_connection: bool, outcome: Outcome) -> Option<f64> {
         let failed = outcome == Outcome::ConnectFailed;
         self.in_flight -= 1;
-        self.connecting -= u32::from(connected);
-        if connected && (failed || outcome == Outcome::NeverSent) {
+        self.connecting -= u32::from(opened_connection);
+        if opened_connection && (failed || outcome == Outcome::NeverSent) {
             self.open = self.open.saturating_sub(1);
         } else if failed || outcome == Outcome::Reset {
-            // What was thought open is not: so are the others that are idle.
+            // A connection that was presumed open is closed; the idle ones are then likely closed too.
             self.open = self.open.min(self.in_flight);
         }
-        let is_known = connected && !matches!(outcome, Outcome::NeverSent | Outcome::Cancelled);
+        let is_known = opened_connection && !matches!(outcome, Outcome::NeverSent | Outcome::Cancelled);
         is_known.then_some(f64::from(u8::from(failed)))
     }
 }
--- a/balancer/src/endpoint/slow_start.rs
+++ b/balancer/src/endpoint/slow_start.rs
@@ -1,24 +1,25 @@
-//! Slow start of one endpoint: what this balancer may still send it while it warms up.
+//! Slow start of one endpoint: how much work this balancer may still send to it while it warms up.
 
 use crate::decaying_mean::DecayingMean;
 use crate::interface::Millis;
 
 /// See the module documentation.
 pub(crate) struct SlowStartState {
-    /// Work, in milliseconds, that may still be sent.
+    /// Work that may still be sent, in milliseconds.
     pub(crate) budget: f64,
-    /// When the budget was last under one request; minus infinity before it has ever been filled.
+    /// When the budget was last below the work of one request; minus infinity before the budget is first
+    /// filled.
     pub(crate) below_one_since: Millis,
-    /// The turn in which something was last granted without knowing any warm endpoint.
+    /// The latest turn that granted a request while the rate of warmed-up endpoints was unknown.
     pub(crate) turn: Option<f64>,
-    /// How much warmer it is taken to be than the contract says at least, 0 to 1.
+    /// How much the endpoint is taken to be warmer than the settings guarantee, 0 to 1.
     pub(crate) extra_warmth: f64,
-    /// Whether it belongs to the subset of this balancer, also while it is ejected.
+    /// Whether it belongs to the subset of this balancer, even while it is ejected.
     pub(crate) in_own_subset: bool,
-    /// How many balancers have it in their subsets.
-    pub(crate) round: f64,
-    /// The position of this balancer among them, 0 to 1.
-    pub(crate) round_phase: f64,
+    /// How many balancers have it in their subsets and take turns.
+    pub(crate) turn_count: f64,
+    /// Position of this balancer in the order of turns, 0 to 1.
+    pub(crate) turn_phase: f64,
 }
 
 impl Default for SlowStartState {
@@ -29,28 +30,37 @@
             turn: None,
             extra_warmth: 0.0,
             in_own_subset: false,
-            round: 1.0,
-            round_phase: 0.0,
+            turn_count: 1.0,
+            turn_phase: 0.0,
         }
     }
 }
 
 impl SlowStartState {
-    /// Saves up work at `rate`, in milliseconds of work a millisecond, for the `passed` time: up to a quarter
-    /// of what it gives in `window`, and at least `request`, the work of one request.
+    /// Refills the budget at `rate`, in milliseconds of work per millisecond, for the `elapsed` time. The
+    /// limit is a quarter of what the rate gives in `window`, but at least `request`, the work of one
+    /// request.
     ///
-    /// Prevents many balancers from spending together what they have saved: a request that nobody wanted for
-    /// `window` is lost.
-    pub(crate) fn accrue(&mut self, rate: f64, passed: Millis, request: Millis, window: Millis, now: Millis) {
+    /// If that limit is below one request, a request that was not used for `window` is dropped. Otherwise
+    /// many balancers could save up one request each and send them all at the same time.
+    pub(crate) fn accrue(
+        &mut self,
+        rate: f64,
+        elapsed: Millis,
+        request: Millis,
+        window: Millis,
+        now: Millis,
+    ) {
         let limit = rate * window / 4.0;
-        let is_lost = limit < request && self.below_one_since + window < now;
+        let is_dropped = limit < request && self.below_one_since + window < now;
         let is_first = self.below_one_since.is_infinite();
-        let saved = if is_first { request * self.round_phase } else { self.budget };
-        self.budget = if is_lost { 0.0 } else { (saved + rate * passed).min(limit.max(request)) };
+        let saved = if is_first { request * self.turn_phase } else { self.budget };
+        self.budget = if is_dropped { 0.0 } else { (saved + rate * elapsed).min(limit.max(request)) };
         self.below_one_since = if self.budget < request { now } else { self.below_one_since.max(0.0) };
     }
 
-    /// Grants one request in each turn, where no rate is known; nothing between turns.
+    /// Grants one request in each turn, and nothing between turns. Used while the rate of warmed-up
+    /// endpoints is unknown.
     pub(crate) fn grant(&mut self, turn: Option<f64>, request: Millis, is_idle: bool) {
         if turn.is_none() {
             self.budget = 0.0;
@@ -59,19 +69,21 @@
         }
     }
 
-    /// Takes in the load that the endpoint reports: at `busy` or more it is as warm as the contract says, at
-    /// none it is nearly warm after `ramp`.
+    /// Adjusts the assumed warmth to the utilization that the endpoint reports: at `busy` or above it falls
+    /// towards what the settings guarantee, and at a utilization of 0 the endpoint counts as nearly warmed up
+    /// after `ramp`.
     ///
-    /// Prevents cold endpoints from being left idle by a fleet: only their reports tell what all send them.
+    /// A single balancer cannot know how much work all others send. Without the reports the balancers
+    /// together would leave an endpoint in slow start underused.
     pub(crate) fn adjust_warmth(
         &mut self,
         utilization: DecayingMean,
         busy: f64,
-        passed: Millis,
+        elapsed: Millis,
         ramp: Millis,
     ) {
-        let spare = busy * utilization.n - utilization.sum;
-        let more = spare / utilization.n.max(1.0) * passed / ramp;
-        self.extra_warmth = (self.extra_warmth + more).clamp(0.0, 1.0);
+        let spare = busy * utilization.weight - utilization.sum;
+        let increase = spare / utilization.weight.max(1.0) * elapsed / ramp;
+        self.extra_warmth = (self.extra_warmth + increase).clamp(0.0, 1.0);
     }
 }
--- a/balancer/src/logic.rs
+++ b/balancer/src/logic.rs
@@ -1,8 +1,9 @@
-//! Every decision of the balancer, one concern a file. Types, events and actions are in `src/interface.rs`;
-//! what is remembered in `src/state.rs`; plain arithmetic (a fading mean, a hash) in `src/tools.rs`.
+//! All decisions of the balancer, with one file for each concern. Settings, events and actions are in
+//! `src/interface.rs`, the state in `src/state.rs`, and plain arithmetic in files such as
+//! `src/decaying_mean.rs` and `src/hashing.rs`.
 //!
-//! Here: the entry points, and the regular look at everything. Times are milliseconds of the caller's clock.
-//! No decision depends on a name.
+//! This file contains the entry points and the periodic evaluation of the state. Times are milliseconds of
+//! the caller's clock. No decision depends on the name of a class, tenant, zone or kind.
 
 mod admission;
 mod dispatch;
@@ -15,153 +16,171 @@
 mod slow_start;
 
 use crate::decaying_mean::DecayingMean;
-use crate::endpoint::OperatorOverride;
+use crate::endpoint::Override;
 use crate::interface::{Action, DiscoveryMode, EndpointUpdate, Event, Millis, Settings, SettingsError};
 use crate::state::{Balancer, Load, TimerPurpose};
 
-/// How often health and admission are judged. Far below the seconds over which troubles come and go.
+/// Interval between evaluations of health and load: far below the seconds over which failures develop.
 const EVALUATION_INTERVAL: Millis = 100.0;
-/// Memory of a kind's speed: a few answers of a quiet balancer, but no longer than a queue takes to jam.
-/// Guards against a fleet of them that still fills the kind that was the fastest some seconds ago.
-const KIND_MEMORY: Millis = 1_500.0;
-/// Memory of one endpoint's slowness and failures: a few seconds, so that a recovered endpoint comes back
-/// soon.
-const ENDPOINT_MEMORY: Millis = 4_000.0;
-/// Memory of what a class usually takes. Long: this is the yardstick that the others are held against.
-const CLASS_MEMORY: Millis = 30_000.0;
-/// A class is taken to need its latency objective over this before its first answer has come.
-const OBJECTIVE_OVER_USUAL: f64 = 5.0;
-/// Memory of traffic rates, for worth, quotas and cold budgets.
-const RATE_MEMORY: Millis = 3_000.0;
-/// Answers that a prior weighs as much as; a mean of fewer real answers is mostly prior.
+/// Time constant of the decay of a kind's relative latency: long enough for a few responses at low traffic,
+/// but no longer than a queue takes to fill. With a longer one the whole fleet would continue to overload
+/// the kind that was the fastest some seconds ago.
+const KIND_TIME_CONSTANT: Millis = 1_500.0;
+/// Time constant of the decay of an endpoint's latency and failures: a few seconds, so that an endpoint that
+/// has recovered soon receives traffic again.
+const ENDPOINT_TIME_CONSTANT: Millis = 4_000.0;
+/// Time constant of the decay of a class's expected latency. It is long, since other latencies are compared
+/// with the expected one.
+const CLASS_TIME_CONSTANT: Millis = 30_000.0;
+/// Ratio of the latency objective of a class to its assumed latency before its first response.
+const OBJECTIVE_TO_EXPECTED_LATENCY: f64 = 5.0;
+/// Time constant of the decay of traffic rates, used for priorities, quotas and slow-start budgets.
+const RATE_TIME_CONSTANT: Millis = 3_000.0;
+/// Number of responses that a prior counts as much as; with fewer real responses a mean is mostly prior.
 const PRIOR_RESPONSES: f64 = 4.0;
-/// One answer counts at most as so many times its usual latency: work is heavy-tailed, an endpoint is not.
+/// Upper limit of the relative latency of a single response. Work is heavy-tailed, so one slow response says
+/// little about the endpoint.
 const MAX_RELATIVE_LATENCY: f64 = 6.0;
-/// The least chance in a sample that a slow endpoint keeps, so that its recovery is seen.
+/// Minimum selection weight of a slow endpoint: it needs some traffic for its recovery to be noticed.
 const MIN_SELECTION_WEIGHT: f64 = 0.03;
+/// Ejection time of an endpoint that is much slower than its kind.
 const SLOW_EJECTION_TIME: Millis = 5_000.0;
-/// Answers that an endpoint on probation must serve.
+/// Responses that a half-open endpoint must give, one request at a time, before it gets regular traffic.
 const HALF_OPEN_TRIALS: u32 = 3;
+/// Maximum number of retries that can be saved up in the retry budget.
 const MAX_RETRY_BUDGET: f64 = 10.0;
-/// An attempt is out for long after so many times what its class usually takes.
+/// An attempt is overdue when it takes longer than this multiple of its expected latency.
 const OVERDUE_RATIO: f64 = 3.0;
-/// Such time-outs are set while less than this share of the attempts out for long is answered in the end;
-/// until some were seen, all are taken to be, with the weight of so many.
-const HEDGE_BELOW: f64 = 0.5;
-/// Load shedding holds the overload (mean of latency over latency objective, at most 1, weighted by worth)
-/// here. Above it a share of the work is refused, by a proportional-integral rule; the second gain is per
-/// second.
+/// Attempts get a time-out for hedging while less than this share of overdue attempts gets a response in
+/// the end.
+const HEDGE_MAX_RESPONSE_RATE: f64 = 0.5;
+/// Target of load shedding for the overload: the mean of latency divided by latency objective, at most 1,
+/// weighted by priority. Above the target a proportional-integral controller sets the share of the work to
+/// shed.
 const OVERLOAD_TARGET: f64 = 0.35;
-/// What an endpoint is taken to hold without overload, from all balancers, before anything is known.
-const OPEN_START: f64 = 2.0;
-/// Memory of the unstrained work in flight: while it grows, and while it falls.
-const OPEN_UP: Millis = 700.0;
-/// Memory of the overload: a few answers, but shorter than a queue takes to fill.
-const OVERLOAD_MEMORY: Millis = 400.0;
-/// Where answers are few it holds so many of them, but is never longer than this.
+/// Initial assumption of how many requests an endpoint can have in flight, from all balancers, without
+/// overload.
+const INITIAL_REQUESTS_PER_ENDPOINT: f64 = 2.0;
+/// Time constant with which the baseline of work in flight without overload grows.
+const BASELINE_RISE_TIME: Millis = 700.0;
+/// Time constant of the decay of the overload: long enough for a few responses, but shorter than a queue
+/// takes to fill.
+const OVERLOAD_TIME_CONSTANT: Millis = 400.0;
+/// With few responses the time constant is extended to cover this many, up to the maximum below.
 const OVERLOAD_RESPONSES: f64 = 4.0;
-const MAX_OVERLOAD_MEMORY: Millis = 3_000.0;
-/// Pauses before it is asked again: the first, and the longest; to both comes the time for the whole fleet.
-const POLL_BACKOFF: Millis = 250.0;
+const MAX_OVERLOAD_TIME_CONSTANT: Millis = 3_000.0;
+/// Initial backoff after a failed poll of discovery; the time that the polls of the whole fleet take is
+/// added.
+const INITIAL_POLL_BACKOFF: Millis = 250.0;
 
 impl Balancer {
-    /// A balancer that knows nothing but its settings.
+    /// A balancer without any observations. `seed` determines its random choices.
     ///
     /// # Errors
-    /// When [`Settings::check`] finds fault with the settings.
+    /// Returns the error of [`Settings::validate`] if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let aims = settings.classes.iter().map(|class| class.latency_objective / OBJECTIVE_OVER_USUAL);
-        let usual = aims.sum::<f64>() / settings.classes.len() as f64;
-        // Before anything is known: some requests on each endpoint, from all balancers together.
-        let load = Load::new(settings.classes.len(), OPEN_START * usual, OPEN_UP, OVERLOAD_TARGET);
+        let latencies =
+            settings.classes.iter().map(|class| class.latency_objective / OBJECTIVE_TO_EXPECTED_LATENCY);
+        let mean_latency = latencies.sum::<f64>() / settings.classes.len() as f64;
+        let load = Load::new(
+            settings.classes.len(),
+            INITIAL_REQUESTS_PER_ENDPOINT * mean_latency,
+            BASELINE_RISE_TIME,
+            OVERLOAD_TARGET,
+        );
         Ok(Self {
             retry_budget: MAX_RETRY_BUDGET,
-            poll_backoff: POLL_BACKOFF,
-            ..Self::empty(settings, seed, load)
+            poll_backoff: INITIAL_POLL_BACKOFF,
+            ..Self::with_load(settings, seed, load)
         })
     }
 
-    /// Takes in one event that happened at `now` and appends to `out` what is to be done about it.
-    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+    /// Handles an event that happened at `now`, and appends the resulting actions to `actions`.
+    pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
         if self.last_evaluated_at.is_none() {
             self.last_evaluated_at = Some(self.now);
-            self.set_timer(EVALUATION_INTERVAL, TimerPurpose::Evaluate, out);
+            self.set_timer(EVALUATION_INTERVAL, TimerPurpose::Evaluate, actions);
             if self.settings.discovery_mode == DiscoveryMode::Pull {
-                // Guards against a fleet that starts together: who has a list can wait for a turn.
-                let known = match &event {
+                // When a whole fleet starts at once, its first polls would overload discovery. A balancer
+                // with a cached list can serve without a current one, so it waits for a random part of
+                // `poll_spread`.
+                let has_list = match &event {
                     Event::EndpointUpdate(EndpointUpdate::CachedSnapshot(list)) => !list.is_empty(),
                     _ => false,
                 };
-                let wait = if known { self.random_unit() * self.poll_spread() } else { 0.0 };
+                let wait = if has_list { self.random_unit() * self.poll_spread() } else { 0.0 };
                 if wait > 0.0 {
-                    self.set_timer(wait, TimerPurpose::Poll, out);
+                    self.set_timer(wait, TimerPurpose::Poll, actions);
                 } else {
-                    out.push(Action::Watch);
+                    actions.push(Action::Watch);
                 }
             }
         }
         match event {
-            Event::EndpointUpdate(news) => self.apply_update(news, out),
-            Event::Request(request) if self.requests.contains_key(&request.id) => {} // taken already
-            Event::Request(request) => self.arrive(&request, out),
+            Event::EndpointUpdate(update) => self.apply_update(update, actions),
+            Event::Request(request) if self.requests.contains_key(&request.id) => {} // a duplicate
+            Event::Request(request) => self.request_arrived(&request, actions),
             Event::BodyComplete { id, timeout } => self.body_completed(id, timeout),
-            Event::FirstByte { id, attempt } => self.stream_began(id, attempt, out),
-            Event::AttemptFinished(end) => self.attempt_ended(&end, out),
-            Event::ClientDisconnected { id } => self.request_over(id, out),
-            Event::ClientHalfClosed { id } => self.client_closed(id, out),
-            Event::Disabled { endpoint } => self.apply_override(endpoint, OperatorOverride::Out, out),
-            Event::Enabled { endpoint, at } => self.apply_override(endpoint, OperatorOverride::Back(at), out),
-            Event::TimerFired { token } => self.timer_fired(token, out),
+            Event::FirstByte { id, attempt } => self.response_started(id, attempt, actions),
+            Event::AttemptFinished(end) => self.attempt_ended(&end, actions),
+            Event::ClientDisconnected { id } => self.end_request(id, actions),
+            Event::ClientHalfClosed { id } => self.client_half_closed(id, actions),
+            Event::Disabled { endpoint } => self.set_override(endpoint, Override::Disabled, actions),
+            Event::Enabled { endpoint, at } => self.set_override(endpoint, Override::EnabledAt(at), actions),
+            Event::TimerFired { token } => self.timer_fired(token, actions),
             Event::ProbeFinished { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
-    fn timer_fired(&mut self, token: u64, out: &mut Vec<Action>) {
+    fn timer_fired(&mut self, token: u64, actions: &mut Vec<Action>) {
         match self.timers.remove(&token) {
             Some(TimerPurpose::Evaluate) => {
-                self.evaluate(out);
-                self.forget(out);
-                self.close_idle(out);
-                self.set_timer(EVALUATION_INTERVAL, TimerPurpose::Evaluate, out);
+                self.evaluate(actions);
+                self.forget_removed_endpoints(actions);
+                self.close_idle_connections(actions);
+                self.set_timer(EVALUATION_INTERVAL, TimerPurpose::Evaluate, actions);
             }
-            Some(TimerPurpose::RetryDispatch(id)) => self.dispatch(id, out),
-            Some(TimerPurpose::Poll) if !self.watching => out.push(Action::Watch),
+            Some(TimerPurpose::RetryDispatch(id)) => self.dispatch(id, actions),
+            Some(TimerPurpose::Poll) if !self.watching => actions.push(Action::Watch),
             _ => {}
         }
     }
 
-    /// The regular look at everything: fades memories, judges kinds, endpoints and load.
-    fn evaluate(&mut self, out: &mut Vec<Action>) {
-        let passed = self.now - self.last_evaluated_at.replace(self.now).unwrap_or(self.now);
-        let keep = |memory: Millis| (-passed / memory).exp();
-        self.classes.iter_mut().for_each(|class| class.fade(keep(CLASS_MEMORY)));
-        self.latencies.iter_mut().for_each(|latency| latency.fade(keep(KIND_MEMORY)));
-        self.tenant_rate.iter_mut().for_each(|rate| *rate *= keep(RATE_MEMORY));
-        self.offered.iter_mut().for_each(|work| *work *= keep(CLASS_MEMORY));
-        self.load.fade(keep(CLASS_MEMORY), keep(ENDPOINT_MEMORY), keep(RATE_MEMORY));
+    /// The periodic evaluation: decays past observations and evaluates load, kinds, endpoints and zones.
+    fn evaluate(&mut self, actions: &mut Vec<Action>) {
+        let elapsed = self.now - self.last_evaluated_at.replace(self.now).unwrap_or(self.now);
+        let decay = |time_constant: Millis| (-elapsed / time_constant).exp();
+        self.class_stats.iter_mut().for_each(|stats| stats.decay(decay(CLASS_TIME_CONSTANT)));
+        self.group_latencies.iter_mut().for_each(|latency| latency.decay(decay(KIND_TIME_CONSTANT)));
+        self.recent_tenant_requests.iter_mut().for_each(|count| *count *= decay(RATE_TIME_CONSTANT));
+        self.offered_work.iter_mut().for_each(|work| *work *= decay(CLASS_TIME_CONSTANT));
+        self.load.decay(decay(CLASS_TIME_CONSTANT), decay(ENDPOINT_TIME_CONSTANT), decay(RATE_TIME_CONSTANT));
         self.endpoints
             .iter_mut()
-            .for_each(|endpoint| endpoint.fade(keep(ENDPOINT_MEMORY), keep(RATE_MEMORY)));
-        // Guards against small balancers that see no overload: their memory holds as many answers as it
-        // needs.
-        let pace = |answers: f64| {
-            let few = OVERLOAD_RESPONSES * RATE_MEMORY / answers.max(1.0);
-            keep(few.clamp(OVERLOAD_MEMORY, MAX_OVERLOAD_MEMORY))
+            .for_each(|endpoint| endpoint.decay(decay(ENDPOINT_TIME_CONSTANT), decay(RATE_TIME_CONSTANT)));
+        // At low traffic all responses would have decayed before the next one arrives, and the balancer
+        // would see no overload. The time constant is therefore extended to cover OVERLOAD_RESPONSES
+        // responses.
+        let overload_decay = |recent_responses: f64| {
+            let time_constant = OVERLOAD_RESPONSES * RATE_TIME_CONSTANT / recent_responses.max(1.0);
+            decay(time_constant.clamp(OVERLOAD_TIME_CONSTANT, MAX_OVERLOAD_TIME_CONSTANT))
         };
-        let (overloads, strain_keep) = (&mut self.load.overloads, pace(self.load.answers));
-        overloads.iter_mut().for_each(|overload| overload.fade(strain_keep));
-        self.zones.iter_mut().for_each(|zone| zone.fade(pace(zone.answers), keep(RATE_MEMORY)));
-        self.evaluate_load(passed);
+        let (overloads, factor) = (&mut self.load.overloads, overload_decay(self.load.recent_responses));
+        overloads.iter_mut().for_each(|overload| overload.decay(factor));
+        self.zones
+            .iter_mut()
+            .for_each(|zone| zone.decay(overload_decay(zone.recent_responses), decay(RATE_TIME_CONSTANT)));
+        self.evaluate_load(elapsed);
         self.evaluate_kinds();
-        let mut priority_weight = DecayingMean::default();
-        let classes = self.classes.iter().zip(&self.settings.classes);
-        classes.for_each(|(stats, class)| priority_weight.weigh(class.priority_weight, stats.size.n));
-        self.load.mean_priority_weight = priority_weight.value_or(0.0);
+        let mut priority = DecayingMean::default();
+        let classes = self.class_stats.iter().zip(&self.settings.classes);
+        classes.for_each(|(stats, class)| priority.add_weighted(class.priority_weight, stats.size.weight));
+        self.load.mean_priority_weight = priority.mean_or(0.0);
         self.evaluate_endpoints();
-        self.evaluate_zones(passed, out);
+        self.evaluate_zones(elapsed, actions);
         self.rebuild_groups();
-        self.refill_slow_start_budgets(passed);
+        self.refill_slow_start_budgets(elapsed);
     }
 }
--- a/balancer/src/logic/dispatch.rs
+++ b/balancer/src/logic/dispatch.rs
@@ -1,6 +1,9 @@
-//! The two gates that keep the rules, `send` and `finish`, and the attempts that pass through them.
+//! Dispatch of requests: attempts, retries and final responses. Every attempt starts in `send` and every
+//! final response of the balancer starts in `finish`; these two enforce the rules.
 
-use super::{EVALUATION_INTERVAL, HEDGE_BELOW, MAX_RETRY_BUDGET, OVERDUE_RATIO, SLOW_EJECTION_TIME};
+use super::{
+    EVALUATION_INTERVAL, HEDGE_MAX_RESPONSE_RATE, MAX_RETRY_BUDGET, OVERDUE_RATIO, SLOW_EJECTION_TIME,
+};
 use crate::endpoint::Endpoint;
 use crate::hashing::hash;
 use crate::interface::{
@@ -8,320 +11,372 @@
 };
 use crate::state::{Attempt, Balancer, Request, TimerPurpose};
 
-/// Work sent to a slow endpoint tells what a sound one would get; one slower than this tells no more.
-const MIN_SOUNDNESS: f64 = 0.2;
-/// Retry budget: what each first attempt adds, and the most that can be saved up.
+/// Lower limit of the ratio with which work sent to a slow endpoint is scaled up; see
+/// [`Endpoint::count_work`].
+const MIN_WEIGHT_RATIO: f64 = 0.2;
+/// What each first attempt adds to the retry budget.
 const RETRY_BUDGET_PER_REQUEST: f64 = 0.15;
-/// An attempt that may be repeated is given up when so many times what its class usually takes is left.
-const HEDGE_NEEDS: f64 = 2.0;
+/// The time-out for hedging leaves this multiple of the expected latency until the latency objective.
+const HEDGE_LATENCY_RATIO: f64 = 2.0;
+/// Until overdue attempts were observed, all of them are assumed to get a response; the assumption counts
+/// as much as this number of attempts.
 const OVERDUE_PRIOR: f64 = 2.0;
-/// A refused client is asked to come back after its latency objective over this: soon enough for two more
-/// tries within it.
+/// `Retry-After` of a rejected request is its latency objective divided by this, so that the client can
+/// retry twice within the objective.
 const RETRY_AFTER_DIVISOR: f64 = 4.0;
-/// Where handshakes are free, idle connections are kept far beyond a busy balancer's next request.
+/// Idle timeout of connections if new connections have no price: far longer than a busy balancer takes to
+/// reuse one.
 const IDLE_CONNECTION_TTL: Millis = 1_000.0;
 
 impl Balancer {
-    /// Whether the rules let this request go to this endpoint now.
-    pub(super) fn is_eligible(&self, request: &Request, h: usize) -> bool {
-        let endpoint = &self.endpoints[h];
-        // From the first notification of a drain on, long before its grace is over.
+    /// Whether the rules allow an attempt of this request to this endpoint now.
+    pub(super) fn is_eligible(&self, request: &Request, index: usize) -> bool {
+        let endpoint = &self.endpoints[index];
+        // A draining endpoint receives nothing from the first notification on, long before the grace period
+        // ends.
         let is_available = endpoint.entry.state == EndpointState::Up && endpoint.selection_weight > 0.0;
         is_available
             && self.may_have_attempt(request)
-            && self.runs_once(request, h)
+            && self.runs_once(request, index)
             && self.may_try_failed(request, endpoint)
             && self.is_within_slow_start(request, endpoint)
     }
 
-    /// Nothing is sent after the final response, nor after the client's deadline, nor beyond the limit of
+    /// No attempt starts after the final response, after the client's deadline, or above the limit of
     /// attempts.
     fn may_have_attempt(&self, request: &Request) -> bool {
-        let is_in_time = request.waits() && self.now < request.deadline;
+        let is_in_time = request.awaits_response() && self.now < request.deadline;
         let has_attempt_left = request.attempts_made() < self.settings.limits.max_attempts as usize;
         is_in_time && has_attempt_left && !request.cannot_resend
     }
 
-    /// Never two attempts at a time, and no second effect where a retry would not be dropped.
-    fn runs_once(&self, request: &Request, h: usize) -> bool {
-        let was_there = |attempt: &Attempt| attempt.endpoint == h && (attempt.open || attempt.may_have_run);
+    /// A request has at most one attempt in flight, and it must not take effect twice: no attempt starts
+    /// where an earlier one may have been executed and would not be deduplicated.
+    fn runs_once(&self, request: &Request, index: usize) -> bool {
+        let used_endpoint =
+            |attempt: &Attempt| attempt.endpoint == index && (attempt.in_flight || attempt.may_have_run);
         let is_harmless =
-            |attempt: &Attempt| !attempt.may_have_run || self.is_retry_harmless(request, attempt, h);
-        request.open_attempts() == 0
-            && !request.attempts.iter().any(was_there)
+            |attempt: &Attempt| !attempt.may_have_run || self.is_retry_harmless(request, attempt, index);
+        request.attempts_in_flight() == 0
+            && !request.attempts.iter().any(used_endpoint)
             && request.attempts.iter().all(is_harmless)
     }
 
-    /// Prevents lost effects: no unsafe request tries an endpoint that has failed; or late, where all are
-    /// unsafe.
+    /// An unsafe request that fails cannot be retried, so unsafe requests are not used as trials of half-open
+    /// endpoints. If all classes are unsafe, they are, but later than other requests would be.
     fn may_try_failed(&self, request: &Request, endpoint: &Endpoint) -> bool {
         let is_unsafe = self.settings.classes[request.class].effect == Effect::Unsafe;
         let is_late = self.now > endpoint.outlier.ejected_until + 2.0 * SLOW_EJECTION_TIME;
         endpoint.outlier.trials_left == 0 || !is_unsafe || (is_late && self.only_unsafe)
     }
 
-    /// An endpoint in slow start gets only what its budget holds, and only from balancers in whose subset it
-    /// is: budgets are calculated for them, and what substitutes or a last resort got would come on top.
+    /// An endpoint in slow start gets only requests that its budget covers, and only from balancers with
+    /// the endpoint in their subsets: the budgets are calculated for those, and requests from other
+    /// balancers that use it as a substitute or last resort would exceed them.
     fn is_within_slow_start(&self, request: &Request, endpoint: &Endpoint) -> bool {
         let slow_start = &endpoint.slow_start;
-        let has_budget = || slow_start.budget >= self.charge(request);
+        let has_budget = || slow_start.budget >= self.slow_start_cost(request);
         self.warmth(endpoint) >= 1.0 || (slow_start.in_own_subset && has_budget())
     }
 
-    fn is_retry_harmless(&self, request: &Request, earlier: &Attempt, h: usize) -> bool {
-        let next = &self.endpoints[h].entry;
+    fn is_retry_harmless(&self, request: &Request, earlier: &Attempt, index: usize) -> bool {
+        let next = &self.endpoints[index].entry;
         match self.settings.classes[request.class].effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
             Effect::Keyed { scope, ttl } => {
-                // The repeat must arrive while the key is remembered, so dialling time comes off.
-                let arrives =
+                // The retry must arrive while the key is still recognised, so the time to connect counts too.
+                let arrives_at =
                     self.now + self.settings.limits.connect_timeout + self.settings.timer_resolution;
-                arrives < earlier.sent + ttl
+                arrives_at < earlier.sent_at + ttl
                     && match scope {
                         KeyScope::All => true,
-                        KeyScope::Zone => earlier.place.0 == next.zone,
-                        KeyScope::Cell => earlier.place == (next.zone, next.cell),
+                        KeyScope::Zone => earlier.zone_and_cell.0 == next.zone,
+                        KeyScope::Cell => earlier.zone_and_cell == (next.zone, next.cell),
                     }
             }
         }
     }
 
-    /// The one place that an attempt leaves from; false if the rules forbid it.
-    fn send(&mut self, id: RequestId, request: &mut Request, h: usize, out: &mut Vec<Action>) -> bool {
-        if !self.is_eligible(request, h) {
+    /// Starts an attempt; all attempts start here. Returns false if the rules forbid it.
+    fn send(
+        &mut self,
+        id: RequestId,
+        request: &mut Request,
+        index: usize,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        if !self.is_eligible(request, index) {
             return false;
         }
-        let (work, charge) = (self.usual(request.class, request.size), self.charge(request));
-        // While its body comes no endpoint works on it.
-        let open = if request.body_pending { 0.0 } else { work };
-        let soundest = self.soundest[self.rate_of(&self.endpoints[h])];
-        let endpoint = &mut self.endpoints[h];
-        let dialled = endpoint.connections.begin_attempt(self.settings.limits.streams_per_connection);
-        self.load.open_work += open;
-        let counted = endpoint.count_work(work, soundest, MIN_SOUNDNESS);
-        endpoint.slow_start.budget -= charge;
+        let (work, cost) =
+            (self.expected_latency(request.class, request.size), self.slow_start_cost(request));
+        // No endpoint works on a request whose body is pending.
+        let work_in_flight = if request.body_pending { 0.0 } else { work };
+        let max_weight = self.max_selection_weights[self.peer_index(&self.endpoints[index])];
+        let endpoint = &mut self.endpoints[index];
+        let opened_connection =
+            endpoint.connections.begin_attempt(self.settings.limits.streams_per_connection);
+        self.load.work_in_flight += work_in_flight;
+        let counted_work = endpoint.count_work(work, max_weight, MIN_WEIGHT_RATIO);
+        endpoint.slow_start.budget -= cost;
         if endpoint.outlier.trials_left > 0 {
-            endpoint.selection_weight = 0.0; // until it has answered: half open means one at a time
+            endpoint.selection_weight = 0.0; // until it responds: half-open means one request at a time
         }
-        let attempt = Attempt::new(h, (endpoint.entry.zone, endpoint.entry.cell), self.now, open, dialled);
-        request.attempts.push(Attempt { counted, ..attempt });
-        let (endpoint, repeat) = (endpoint.entry.endpoint, self.hedge_after(request));
-        out.push(Action::Send { id, endpoint, timeout: repeat });
+        let attempt = Attempt::new(
+            index,
+            (endpoint.entry.zone, endpoint.entry.cell),
+            self.now,
+            work_in_flight,
+            opened_connection,
+        );
+        request.attempts.push(Attempt { counted_work, ..attempt });
+        let (endpoint, timeout) = (endpoint.entry.endpoint, self.hedge_timeout(request));
+        actions.push(Action::Send { id, endpoint, timeout });
         true
     }
 
-    /// The one place that our final answers leave from: a refusal where it is true that nothing ran or that
-    /// running again does no harm, a failure elsewhere.
-    fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id).filter(|r| r.waits()) else { return };
+    /// Sends the final response of a request that no endpoint served; all such responses start here. The
+    /// request is rejected if it was certainly not executed or if a retry is harmless, otherwise it fails.
+    fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id).filter(|r| r.awaits_response()) else { return };
         let Class { latency_objective, effect, .. } = self.settings.classes[request.class];
-        let harmless = effect == Effect::Safe || !request.may_have_run();
-        let advice = (latency_objective / RETRY_AFTER_DIVISOR).min(self.settings.limits.max_retry_after);
-        let retry_after = self.settings.limits.retry_after.then_some(advice);
-        out.push(if harmless { Action::Reject { id, retry_after } } else { Action::Fail { id } });
-        self.request_over(id, out);
+        let is_harmless = effect == Effect::Safe || !request.may_have_run();
+        let delay = (latency_objective / RETRY_AFTER_DIVISOR).min(self.settings.limits.max_retry_after);
+        let retry_after = self.settings.limits.retry_after.then_some(delay);
+        actions.push(if is_harmless { Action::Reject { id, retry_after } } else { Action::Fail { id } });
+        self.end_request(id, actions);
     }
 
-    /// The request has its final answer: cancel what is out, and forget it when nothing is.
-    pub(super) fn request_over(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Marks a request as ended, by its final response or because the client disconnected. Its attempts in
+    /// flight are cancelled; once none is left, the request is removed.
+    pub(super) fn end_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let (first, streaming) = (!request.ended, request.streaming);
+        let (is_first, streaming) = (!request.ended, request.streaming);
         request.ended = true;
-        if request.open_attempts() == 0 {
+        if request.attempts_in_flight() == 0 {
             self.requests.remove(&id);
-        } else if first && !streaming {
-            self.cancel_attempts(id, None, out);
+        } else if is_first && !streaming {
+            self.cancel_attempts(id, None, actions);
         }
     }
 
-    /// What is out may still be answered, but nothing more is sent for a client that may have gone.
-    pub(super) fn client_closed(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Attempts in flight may still get a response, but no further attempt starts: the client may have
+    /// disconnected.
+    pub(super) fn client_half_closed(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.cannot_resend = true;
-        if request.open_attempts() == 0 {
-            self.finish(id, out);
+        if request.attempts_in_flight() == 0 {
+            self.finish(id, actions);
         }
     }
 
-    /// Calls off the attempts that are out, where that is allowed.
-    pub(super) fn cancel_attempts(&self, id: RequestId, except: Option<u32>, out: &mut Vec<Action>) {
-        let open = self.requests.get(&id).into_iter().flat_map(|request| (0..).zip(&request.attempts));
-        let open = open.filter(|(n, a)| a.open && Some(*n) != except && self.settings.limits.cancellation);
-        out.extend(open.map(|(attempt, _)| Action::Cancel { id, attempt }));
+    /// Cancels the attempts in flight, if that is allowed.
+    pub(super) fn cancel_attempts(&self, id: RequestId, except: Option<u32>, actions: &mut Vec<Action>) {
+        let attempts = self.requests.get(&id).into_iter().flat_map(|request| (0..).zip(&request.attempts));
+        let cancelled = attempts.filter(|(number, attempt)| {
+            attempt.in_flight && Some(*number) != except && self.settings.limits.cancellation
+        });
+        actions.extend(cancelled.map(|(attempt, _)| Action::Cancel { id, attempt }));
     }
 
-    pub(super) fn arrive(&mut self, new: &NewRequest, out: &mut Vec<Action>) {
+    pub(super) fn request_arrived(&mut self, new: &NewRequest, actions: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(new.metadata.class) else {
-            return out.push(Action::Reject { id: new.id, retry_after: None });
+            return actions.push(Action::Reject { id: new.id, retry_after: None });
         };
-        let tenant = new.metadata.tenant.min(self.tenant_rate.len() - 1);
-        let size = new.metadata.size_hint.filter(|s| s.is_finite() && *s > 0.0).unwrap_or(1.0);
-        let patience = if new.timeout.is_finite() { new.timeout } else { class.deadline };
+        let tenant = new.metadata.tenant.min(self.recent_tenant_requests.len() - 1);
+        let size = new.metadata.size_hint.filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0);
+        let timeout = if new.timeout.is_finite() { new.timeout } else { class.deadline };
         let key = new.metadata.key.as_deref().filter(|_| self.settings.key_affinity).map(hash);
-        let mut request = Request::new(new.metadata.class, self.now, patience, size, key);
-        (request.once, request.body_pending) = (new.body_pending, new.body_pending);
-        self.classes[new.metadata.class].size.add(size);
-        // A client's repeat belongs to its first try.
-        self.classes[new.metadata.class].kept.n += f64::from(u8::from(!new.metadata.is_retry));
-        self.tenant_rate[tenant] += 1.0;
-        self.offered[new.metadata.class * self.tenant_rate.len() + tenant] +=
-            self.usual(new.metadata.class, size);
+        let mut request = Request::new(new.metadata.class, self.now, timeout, size, key);
+        (request.send_once, request.body_pending) = (new.body_pending, new.body_pending);
+        self.class_stats[new.metadata.class].size.add(size);
+        // A client's retry does not count as another request.
+        self.class_stats[new.metadata.class].in_objective.weight +=
+            f64::from(u8::from(!new.metadata.is_retry));
+        self.recent_tenant_requests[tenant] += 1.0;
+        self.offered_work[new.metadata.class * self.recent_tenant_requests.len() + tenant] +=
+            self.expected_latency(new.metadata.class, size);
         self.requests.insert(new.id, request);
-        if self.sheds(new.metadata.class, tenant, new.metadata.is_retry) {
-            return self.finish(new.id, out);
+        if self.should_shed(new.metadata.class, tenant, new.metadata.is_retry) {
+            return self.finish(new.id, actions);
         }
         self.retry_budget = (self.retry_budget + RETRY_BUDGET_PER_REQUEST).min(MAX_RETRY_BUDGET);
-        self.dispatch(new.id, out);
+        self.dispatch(new.id, actions);
     }
 
-    /// From now on the client waits, and the endpoint works.
-    pub(super) fn body_completed(&mut self, id: RequestId, patience: Millis) {
+    /// The client's timeout and the endpoint's work count from the last byte of the body.
+    pub(super) fn body_completed(&mut self, id: RequestId, timeout: Millis) {
         let Some(mut request) = self.requests.remove(&id) else { return };
-        (request.body_pending, request.arrived, request.deadline) = (false, self.now, self.now + patience);
-        let work = self.usual(request.class, request.size);
-        for attempt in request.attempts.iter_mut().filter(|attempt| attempt.open && attempt.work == 0.0) {
-            (attempt.sent, attempt.work) = (self.now, work);
-            self.load.open_work += work;
+        (request.body_pending, request.arrived_at, request.deadline) = (false, self.now, self.now + timeout);
+        let work = self.expected_latency(request.class, request.size);
+        for attempt in request.attempts.iter_mut().filter(|attempt| attempt.in_flight && attempt.work == 0.0)
+        {
+            (attempt.sent_at, attempt.work) = (self.now, work);
+            self.load.work_in_flight += work;
         }
         self.requests.insert(id, request);
     }
 
-    /// Sends the request on, or holds it while no endpoint is ready, or ends it when its time is up.
-    pub(super) fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let idle = |r: &&Request| !r.ended && r.open_attempts() == 0;
-        let sent = self.requests.get(&id).filter(idle).is_none() || self.dispatch_to_selected(id, out);
-        if !sent {
-            self.hold(id, out);
+    /// Starts an attempt of a request that has none in flight. If no endpoint is eligible, it is retried
+    /// later or finished.
+    pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let needs_attempt = |request: &&Request| !request.ended && request.attempts_in_flight() == 0;
+        let is_sent =
+            self.requests.get(&id).filter(needs_attempt).is_none() || self.dispatch_to_selected(id, actions);
+        if !is_sent {
+            self.retry_later(id, actions);
         }
     }
 
-    /// Tries the request again after a pause, or ends it when its time is up.
-    fn hold(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Dispatches the request again after a backoff, or finishes it when there is not enough time left.
+    fn retry_later(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let never_sent = request.attempts.last().is_some_and(|attempt| attempt.never_sent);
-        let repeatable = !request.cannot_resend
+        let is_retriable = !request.cannot_resend
             && request.attempts_made() < self.settings.limits.max_attempts as usize
             && (!request.may_have_run() || self.settings.classes[request.class].effect == Effect::Safe);
-        // Guards against a request lost while no endpoint is ready, or held until its client can try no more.
-        // Where the system here is in the way, another try of the client would come no further.
-        let whole = request.may_have_run() || never_sent;
-        let end = if whole { 1.0 } else { 0.5 } * (request.deadline - request.arrived);
-        let last_chance = request.arrived + end - 2.0 * self.settings.timer_resolution;
-        if !repeatable || self.now >= last_chance {
-            return self.finish(id, out);
+        // A request waits while no endpoint is eligible, but by default for only half of its time: after a
+        // rejection the client itself can retry in the rest. It waits for all of its time if it may have been
+        // executed, or if an attempt was not sent because of the local system, which would stop the client's
+        // retry as well.
+        let may_wait_fully = request.may_have_run() || never_sent;
+        let wait_time = if may_wait_fully { 1.0 } else { 0.5 } * (request.deadline - request.arrived_at);
+        let last_chance = request.arrived_at + wait_time - 2.0 * self.settings.timer_resolution;
+        if !is_retriable || self.now >= last_chance {
+            return self.finish(id, actions);
         }
-        let pause = (last_chance - self.now).min(EVALUATION_INTERVAL);
-        self.set_timer(pause, TimerPurpose::RetryDispatch(id), out);
+        let backoff = (last_chance - self.now).min(EVALUATION_INTERVAL);
+        self.set_timer(backoff, TimerPurpose::RetryDispatch(id), actions);
     }
 
-    /// One attempt to an endpoint of the ordinary path's choice.
-    fn dispatch_to_selected(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+    /// Starts an attempt at the endpoint that [`Balancer::select_endpoint`] selects. Returns false if there
+    /// is none.
+    fn dispatch_to_selected(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(mut request) = self.requests.remove(&id) else { return false };
-        let sent = self.pick(&request).is_some_and(|endpoint| self.send(id, &mut request, endpoint, out));
+        let is_sent = self
+            .select_endpoint(&request)
+            .is_some_and(|endpoint| self.send(id, &mut request, endpoint, actions));
         self.requests.insert(id, request);
-        sent
+        is_sent
     }
 
-    /// How likely an answer that is long overdue still comes: hardly, where answers are lost or endpoints
-    /// silent.
+    /// Estimated probability that an overdue attempt still gets a response. It is low when responses are
+    /// lost or endpoints have stalled.
     pub(super) fn overdue_response_rate(&self) -> f64 {
-        self.load.overdue.shrunk(1.0, OVERDUE_PRIOR)
+        self.load.overdue_responses.shrunk(1.0, OVERDUE_PRIOR)
     }
 
-    /// Guards against answers that are lost and endpoints that fall silent: a request that may be repeated
-    /// goes elsewhere when its attempt clearly takes longer than its class usually does. That gives it up,
-    /// so it comes as late as the latency objective allows, and only in a zone on trial or where overdue
-    /// answers are seen not to come: else a heavy request would run twice.
-    fn hedge_after(&self, request: &Request) -> Option<Millis> {
+    /// Time-out after which an attempt is given up and the request is sent to another endpoint, in case the
+    /// response is lost or the endpoint has stalled.
+    ///
+    /// Giving up an attempt wastes its work, and a heavy request would be executed twice. The time-out is
+    /// therefore as long as the latency objective allows, and it is set only in a zone that is on trial or
+    /// ramps up after an ejection, or while overdue attempts rarely get a response.
+    fn hedge_timeout(&self, request: &Request) -> Option<Millis> {
         let Class { latency_objective, effect, .. } = self.settings.classes[request.class];
-        let usual = self.usual(request.class, request.size);
-        let (left, aim_left) = (request.deadline - self.now, request.arrived + latency_objective - self.now);
-        let tries = request.attempts.last().is_some_and(|attempt| self.open(attempt.endpoint) < 1.0);
-        let lost = self.retry_budget >= 1.0 && (tries || self.overdue_response_rate() < HEDGE_BELOW);
-        let wait = (OVERDUE_RATIO * usual).max(aim_left - HEDGE_NEEDS * usual);
-        let useful = if lost { left.min(aim_left) } else { 0.0 };
-        (effect != Effect::Unsafe && !request.once && wait + usual < useful).then_some(wait)
+        let expected = self.expected_latency(request.class, request.size);
+        let (time_left, objective_left) =
+            (request.deadline - self.now, request.arrived_at + latency_objective - self.now);
+        let is_zone_on_trial =
+            request.attempts.last().is_some_and(|attempt| self.zone_weight(attempt.endpoint) < 1.0);
+        let should_hedge = self.retry_budget >= 1.0
+            && (is_zone_on_trial || self.overdue_response_rate() < HEDGE_MAX_RESPONSE_RATE);
+        let timeout = (OVERDUE_RATIO * expected).max(objective_left - HEDGE_LATENCY_RATIO * expected);
+        let limit = if should_hedge { time_left.min(objective_left) } else { 0.0 };
+        (effect != Effect::Unsafe && !request.send_once && timeout + expected < limit).then_some(timeout)
     }
 
-    /// Guards against full connection tables: many balancers that each keep a rarely used connection to every
-    /// endpoint take up its capacity, and then its last free place.
-    pub(super) fn close_idle(&mut self, out: &mut Vec<Action>) {
-        let (now, idle) = (self.now, self.settings.limits.connection_idle_timeout);
-        let keep = if self.settings.prices.handshake > 0.0 { idle } else { IDLE_CONNECTION_TTL };
-        for endpoint in self.endpoints.iter_mut().filter(|h| {
-            h.connections.in_flight == 0 && h.connections.open > 0 && h.connections.last_idle_at + keep <= now
+    /// Closes idle connections. Many balancers that each keep a rarely used connection to every endpoint
+    /// would otherwise exhaust the connections that an endpoint can hold.
+    pub(super) fn close_idle_connections(&mut self, actions: &mut Vec<Action>) {
+        let (now, endpoint_timeout) = (self.now, self.settings.limits.connection_idle_timeout);
+        let timeout =
+            if self.settings.prices.handshake > 0.0 { endpoint_timeout } else { IDLE_CONNECTION_TTL };
+        for endpoint in self.endpoints.iter_mut().filter(|endpoint| {
+            endpoint.connections.in_flight == 0
+                && endpoint.connections.open > 0
+                && endpoint.connections.last_idle_at + timeout <= now
         }) {
             endpoint.connections.open = 0;
-            if keep < idle {
-                out.push(Action::CloseIdleConnections { endpoint: endpoint.entry.endpoint });
+            if timeout < endpoint_timeout {
+                actions.push(Action::CloseIdleConnections { endpoint: endpoint.entry.endpoint });
             }
         }
     }
 
-    pub(super) fn stream_began(&mut self, id: RequestId, attempt: u32, out: &mut Vec<Action>) {
+    pub(super) fn response_started(&mut self, id: RequestId, attempt: u32, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !request.ended {
             request.streaming = true;
-            self.cancel_attempts(id, Some(attempt), out);
+            self.cancel_attempts(id, Some(attempt), actions);
         }
     }
 
-    pub(super) fn attempt_ended(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
+    pub(super) fn attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let (id, outcome) = (end.id, end.outcome);
         let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = request.attempts.get_mut(end.attempt as usize);
-        let Some(attempt) = attempt.filter(|a| a.open) else { return };
-        attempt.open = false;
-        self.load.open_work -= attempt.work;
+        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight) else { return };
+        attempt.in_flight = false;
+        self.load.work_in_flight -= attempt.work;
         attempt.may_have_run = !never_ran;
         attempt.never_sent = outcome == Outcome::NeverSent;
         request.cannot_resend |= end.cannot_resend;
-        let (h, counted) = (attempt.endpoint, if attempt.never_sent { attempt.counted } else { 0.0 });
-        let (dialled, time_up) =
-            (attempt.dialled, self.now + self.settings.timer_resolution >= request.deadline);
-        let (class, size, over, arrived) = (request.class, request.size, request.ended, request.arrived);
-        self.endpoints[h].connections.last_idle_at = self.now;
-        // What was never sent tells nothing of what the endpoint can take.
-        self.endpoints[h].recent_work = (self.endpoints[h].recent_work - counted).max(0.0);
-        if let Some(failed) = self.endpoints[h].connections.end_attempt(dialled, outcome) {
-            self.endpoints[h].connections.failures.add(failed);
+        let (index, uncounted_work) =
+            (attempt.endpoint, if attempt.never_sent { attempt.counted_work } else { 0.0 });
+        let (opened_connection, is_time_up) =
+            (attempt.opened_connection, self.now + self.settings.timer_resolution >= request.deadline);
+        let (class, size, ended, arrived_at) =
+            (request.class, request.size, request.ended, request.arrived_at);
+        self.endpoints[index].connections.last_idle_at = self.now;
+        // An attempt that was never sent says nothing about the endpoint's capacity.
+        self.endpoints[index].recent_work = (self.endpoints[index].recent_work - uncounted_work).max(0.0);
+        if let Some(failed) = self.endpoints[index].connections.end_attempt(opened_connection, outcome) {
+            self.endpoints[index].connections.failures.add(failed);
             self.load.connect_failures.add(failed);
         }
-        if outcome == Outcome::Served && self.now - arrived <= self.settings.classes[class].latency_objective
+        if outcome == Outcome::Served
+            && self.now - arrived_at <= self.settings.classes[class].latency_objective
         {
-            self.classes[class].kept.sum += 1.0;
+            self.class_stats[class].in_objective.sum += 1.0;
         }
-        self.learn(h, class, size, end, time_up);
-        if over || end.request_ended {
-            return self.request_over(id, out);
+        self.record_outcome(index, class, size, end, is_time_up);
+        if ended || end.request_ended {
+            return self.end_request(id, actions);
         }
         let Some(request) = self.requests.get(&id) else { return };
-        if time_up {
-            // The client's time is up: the answer is owed at once, whatever else is still out.
-            self.finish(id, out);
-        } else if request.open_attempts() == 0 {
-            self.retry(id, outcome, out);
+        if is_time_up {
+            // The client's deadline has passed: the final response is due now, even with attempts in flight.
+            self.finish(id, actions);
+        } else if request.attempts_in_flight() == 0 {
+            self.retry(id, outcome, actions);
         }
     }
 
-    /// Another attempt after one that failed, if the class, the budget and the time left allow it.
-    fn retry(&mut self, id: RequestId, outcome: Outcome, out: &mut Vec<Action>) {
+    /// Retries a request after a failed attempt, if its class, the retry budget and the time left allow it.
+    fn retry(&mut self, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let (class, size) = (request.class, request.size);
-        let time = request.deadline - self.now > 0.5 * self.usual(class, size);
-        // What was not written cost no endpoint any work, so it is not held against the budget.
-        let price = if matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent) { 0.0 } else { 1.0 };
+        let has_time = request.deadline - self.now > 0.5 * self.expected_latency(class, size);
+        // An attempt that was not sent caused no work, so its retry is free.
+        let cost = if matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent) { 0.0 } else { 1.0 };
         let never_sent = outcome == Outcome::NeverSent;
-        // Guards against a spin of attempts that end at once: beyond its number, each one is paused for.
-        let at_once = !never_sent || request.attempts.len() < self.settings.limits.max_attempts as usize;
-        if time && at_once && self.retry_budget >= price && self.dispatch_to_selected(id, out) {
-            self.retry_budget -= price;
-        } else if time && never_sent {
-            self.hold(id, out);
+        // Attempts that cannot be sent do not count towards the limit and would be repeated in a tight
+        // loop. Once there are as many attempts as the limit, each further one waits for a backoff.
+        let may_retry_at_once =
+            !never_sent || request.attempts.len() < self.settings.limits.max_attempts as usize;
+        if has_time
+            && may_retry_at_once
+            && self.retry_budget >= cost
+            && self.dispatch_to_selected(id, actions)
+        {
+            self.retry_budget -= cost;
+        } else if has_time && never_sent {
+            self.retry_later(id, actions);
         } else {
-            self.finish(id, out);
+            self.finish(id, actions);
         }
     }
 }
--- a/balancer/src/logic/endpoint_list.rs
+++ b/balancer/src/logic/endpoint_list.rs
@@ -1,60 +1,64 @@
-//! Discovery: what lists and operators say of endpoints, and which of them are this balancer's part.
+//! Applies endpoint list updates and operator overrides, and selects the subset of endpoints that this
+//! balancer uses.
 
 use std::collections::BTreeMap;
 
-use super::{ENDPOINT_MEMORY, POLL_BACKOFF, RATE_MEMORY};
-use crate::endpoint::{Endpoint, OperatorOverride, remove_marked};
+use super::{ENDPOINT_TIME_CONSTANT, INITIAL_POLL_BACKOFF, RATE_TIME_CONSTANT};
+use crate::endpoint::{Endpoint, Override, remove_marked};
 use crate::hashing::rendezvous;
 use crate::interface::{
     Action, DiscoveryMode, EndpointEntry, EndpointId, EndpointState, EndpointUpdate, Millis,
 };
 use crate::state::{Balancer, TimerPurpose};
 
-/// An endpoint that the list has taken out is forgotten after so long: what was learnt of it has faded by
+/// How long the state of an endpoint is kept after its removal from the list: what it contains has decayed by
 /// then.
 const REMOVED_RETENTION: Millis = 60_000.0;
-/// Subsetting: a balancer uses no more endpoints than give it so many answers each in ENDPOINT_MEMORY ...
-const ANSWERS_EACH: f64 = 4.0;
-/// ... but at least so many of a group.
+/// Subsetting: a balancer uses only as many endpoints as give it this many responses each within
+/// ENDPOINT_TIME_CONSTANT ...
+const RESPONSES_PER_ENDPOINT: f64 = 4.0;
+/// ... but at least this many of a group.
 const MIN_SUBSET_SIZE: usize = 2;
-/// Discovery takes calls one after another: so much time is left to it for the call of each balancer.
+/// Discovery handles polls one after another; this is the time that it has for the poll of each balancer.
 const POLL_COST: Millis = 50.0;
-/// A change counts as told 6 s after discovery has it: 3.2 s are for a call, 2 s to see a watch fall silent.
+/// A balancer counts as notified 6 s after discovery has a change: 3.2 s are for a poll, and 2 s for
+/// noticing that a watch has stalled.
 const MAX_POLL_BACKOFF: Millis = 2_800.0;
 const MAX_WATCH_BACKOFF: Millis = 800.0;
 
 impl Balancer {
-    pub(super) fn apply_update(&mut self, news: EndpointUpdate, out: &mut Vec<Action>) {
-        let changes = matches!(news, EndpointUpdate::Changes(_));
-        let persisted = matches!(news, EndpointUpdate::CachedSnapshot(_));
+    pub(super) fn apply_update(&mut self, update: EndpointUpdate, actions: &mut Vec<Action>) {
+        let is_incremental = matches!(update, EndpointUpdate::Changes(_));
+        let is_cached = matches!(update, EndpointUpdate::CachedSnapshot(_));
         let (EndpointUpdate::CachedSnapshot(entries)
         | EndpointUpdate::FullSnapshot(entries)
-        | EndpointUpdate::Changes(entries)) = news
+        | EndpointUpdate::Changes(entries)) = update
         else {
-            // Guards against calls that wait in vain behind others that did: a queue that a whole fleet keeps
-            // filling answers nobody. So the pause grows, and is spread over all of its length.
-            let (poll_spread, most) =
+            // If a whole fleet polls faster than discovery can respond, its queue only contains polls that
+            // have timed out, and nobody gets a response. The backoff therefore grows with each failure and
+            // is random over its whole length.
+            let (poll_spread, max_backoff) =
                 (self.poll_spread(), if self.watching { MAX_WATCH_BACKOFF } else { MAX_POLL_BACKOFF });
-            let pause = self.random_unit() * (2.0 * (self.poll_backoff + poll_spread)).min(most);
+            let backoff = self.random_unit() * (2.0 * (self.poll_backoff + poll_spread)).min(max_backoff);
             self.poll_backoff = (2.0 * self.poll_backoff + poll_spread).min(MAX_POLL_BACKOFF);
             self.watching = false;
             if self.settings.discovery_mode == DiscoveryMode::Pull {
-                self.set_timer(pause.max(self.settings.timer_resolution), TimerPurpose::Poll, out);
+                self.set_timer(backoff.max(self.settings.timer_resolution), TimerPurpose::Poll, actions);
             }
             return;
         };
-        if !persisted {
-            // What was known before a restart is a start, but no answer to a call.
-            (self.watching, self.poll_backoff) = (true, POLL_BACKOFF);
+        if !is_cached {
+            // A cached list is no response to a poll, so it says nothing about discovery.
+            (self.watching, self.poll_backoff) = (true, INITIAL_POLL_BACKOFF);
         }
-        if !changes {
-            // Whoever is absent from a whole list is gone.
+        if !is_incremental {
+            // Endpoints that are absent from a full list were removed.
             self.endpoints.iter_mut().for_each(|endpoint| {
                 (endpoint.entry.state, endpoint.listed_state) =
                     (EndpointState::Removed, EndpointState::Removed);
             });
         }
-        entries.into_iter().for_each(|entry| self.list(entry));
+        entries.into_iter().for_each(|entry| self.update_endpoint(entry));
         self.evaluate_list();
     }
 
@@ -64,138 +68,157 @@
         self.evaluate_endpoints();
     }
 
-    /// What an operator says of an endpoint, which stands until the operator says otherwise.
-    pub(super) fn apply_override(
+    /// Applies an operator override, which remains in effect until the next one for the same endpoint.
+    pub(super) fn set_override(
         &mut self,
         endpoint: EndpointId,
-        hand: OperatorOverride,
-        out: &mut Vec<Action>,
+        operator_override: Override,
+        actions: &mut Vec<Action>,
     ) {
-        self.operator_overrides.insert(endpoint, hand);
-        if let Some(&h) = self.index.get(&endpoint) {
-            let known = &self.endpoints[h];
-            self.list(EndpointEntry { state: known.listed_state, ..known.entry.clone() });
+        self.operator_overrides.insert(endpoint, operator_override);
+        if let Some(&index) = self.endpoint_index.get(&endpoint) {
+            let known = &self.endpoints[index];
+            self.update_endpoint(EndpointEntry { state: known.listed_state, ..known.entry.clone() });
             self.evaluate_list();
-            out.push(Action::CloseIdleConnections { endpoint });
+            actions.push(Action::CloseIdleConnections { endpoint });
         }
     }
 
-    /// The time that the fleet's calls to discovery need, each in its turn, beyond the first pause.
+    /// The time that discovery needs for one poll of each balancer in the fleet, beyond the initial backoff.
     pub(super) fn poll_spread(&self) -> Millis {
-        let most = self.settings.contract.max_notification_delay.map_or(f64::INFINITY, |within| within / 2.0);
-        (POLL_COST * f64::from(self.settings.balancer_count) - POLL_BACKOFF)
-            .clamp(0.0, most.min(MAX_POLL_BACKOFF))
+        let limit = self.settings.contract.max_notification_delay.map_or(f64::INFINITY, |delay| delay / 2.0);
+        (POLL_COST * f64::from(self.settings.balancer_count) - INITIAL_POLL_BACKOFF)
+            .clamp(0.0, limit.min(MAX_POLL_BACKOFF))
     }
 
-    fn list(&mut self, mut entry: EndpointEntry) {
-        // Kinds that the settings do not name share one group.
+    /// Adds an endpoint, or updates its entry.
+    fn update_endpoint(&mut self, mut entry: EndpointEntry) {
+        // Kinds that are not in the settings share one additional kind.
         entry.kind = entry.kind.min(self.settings.kind_count);
         entry.zone = entry.zone.min(self.settings.zone_count - 1);
-        let place = rendezvous(0, u64::from(entry.endpoint.0));
+        let subset_position = rendezvous(0, u64::from(entry.endpoint.0));
         let group = entry.kind * self.settings.zone_count + entry.zone;
-        let fresh = Endpoint::new(group, place, self.classes.len(), entry);
-        let hand = self.operator_overrides.get(&fresh.entry.endpoint).copied();
-        let fresh = fresh.with_override(hand);
-        let Some(&h) = self.index.get(&fresh.entry.endpoint) else {
-            self.index.insert(fresh.entry.endpoint, self.endpoints.len());
-            self.endpoints.push(fresh);
+        let new = Endpoint::new(group, subset_position, self.class_stats.len(), entry);
+        let operator_override = self.operator_overrides.get(&new.entry.endpoint).copied();
+        let new = new.with_override(operator_override);
+        let Some(&index) = self.endpoint_index.get(&new.entry.endpoint) else {
+            self.endpoint_index.insert(new.entry.endpoint, self.endpoints.len());
+            self.endpoints.push(new);
             return;
         };
-        let endpoint = &mut self.endpoints[h];
-        if endpoint.entry.started_at == fresh.entry.started_at {
-            (endpoint.entry, endpoint.listed_state, endpoint.group) =
-                (fresh.entry, fresh.listed_state, group);
+        let endpoint = &mut self.endpoints[index];
+        if endpoint.entry.started_at == new.entry.started_at {
+            (endpoint.entry, endpoint.listed_state, endpoint.group) = (new.entry, new.listed_state, group);
         } else {
-            // A new process on the endpoint: nothing learnt of the old one holds.
+            // The endpoint's process was restarted: observations of the previous process no longer apply.
             let connections = endpoint.connections.after_restart();
-            *endpoint = Endpoint { connections, ..fresh };
+            *endpoint = Endpoint { connections, ..new };
         }
     }
 
-    /// Guards against memory that grows with every new name: what the list has taken out goes once nothing
-    /// refers to it. An operator's word that an endpoint is out stays, and so does the endpoint's number.
-    pub(super) fn forget(&mut self, out: &mut Vec<Action>) {
-        let (now, cold) = (self.now, self.settings.contract.warm_up);
+    /// Drops the state of removed endpoints once nothing refers to it; without this, memory would grow with
+    /// every new endpoint. If an operator disabled the endpoint, the override and the endpoint's identifier
+    /// are kept.
+    pub(super) fn forget_removed_endpoints(&mut self, actions: &mut Vec<Action>) {
+        let (now, warm_up) = (self.now, self.settings.contract.warm_up);
         self.endpoints.iter_mut().for_each(|endpoint| endpoint.update_removed_at(now));
-        let mut goes: Vec<bool> =
+        let mut marks: Vec<bool> =
             self.endpoints.iter().map(|endpoint| endpoint.can_be_forgotten(now, REMOVED_RETENTION)).collect();
-        if !goes.contains(&true) && self.operator_overrides.is_empty() {
+        if !marks.contains(&true) && self.operator_overrides.is_empty() {
             return;
         }
-        self.requests.values().flat_map(|r| &r.attempts).for_each(|attempt| goes[attempt.endpoint] = false);
-        let known = |endpoint: &EndpointId| self.index.get(endpoint).map(|&h| !goes[h]);
-        // What came back so long ago is warm by now, so that nothing follows from it any more.
-        let stands = |hand: OperatorOverride| match hand {
-            OperatorOverride::Out => true,
-            OperatorOverride::Back(at) => at + cold + REMOVED_RETENTION > now,
+        self.requests
+            .values()
+            .flat_map(|request| &request.attempts)
+            .for_each(|attempt| marks[attempt.endpoint] = false);
+        // For an endpoint with state: whether the state is kept.
+        let is_kept = |endpoint: &EndpointId| self.endpoint_index.get(endpoint).map(|&index| !marks[index]);
+        // An endpoint that was enabled this long ago has passed slow start, so its override has no effect
+        // any more.
+        let is_in_effect = |operator_override: Override| match operator_override {
+            Override::Disabled => true,
+            Override::EnabledAt(at) => at + warm_up + REMOVED_RETENTION > now,
         };
         let operator_overrides = std::mem::take(&mut self.operator_overrides);
-        let (stay, over): (BTreeMap<_, _>, BTreeMap<_, _>) = operator_overrides
-            .into_iter()
-            .partition(|(endpoint, hand)| stands(*hand) || known(endpoint) == Some(true));
-        let over = over.keys().filter(|endpoint| known(endpoint).is_none());
-        let numbers = self.index.keys().filter(|endpoint| known(endpoint) == Some(false)).chain(over);
-        let numbers = numbers.filter(|endpoint| !stay.contains_key(endpoint));
-        out.extend(numbers.map(|&endpoint| Action::ReleaseEndpointId { endpoint }));
-        self.operator_overrides = stay;
-        if goes.contains(&true) {
-            let places = remove_marked(&mut self.endpoints, &goes);
-            self.index =
-                self.endpoints.iter().enumerate().map(|(h, endpoint)| (endpoint.entry.endpoint, h)).collect();
+        let (kept, expired): (BTreeMap<_, _>, BTreeMap<_, _>) =
+            operator_overrides.into_iter().partition(|(endpoint, operator_override)| {
+                is_in_effect(*operator_override) || is_kept(endpoint) == Some(true)
+            });
+        let expired = expired.keys().filter(|endpoint| is_kept(endpoint).is_none());
+        let released =
+            self.endpoint_index.keys().filter(|endpoint| is_kept(endpoint) == Some(false)).chain(expired);
+        let released = released.filter(|endpoint| !kept.contains_key(endpoint));
+        actions.extend(released.map(|&endpoint| Action::ReleaseEndpointId { endpoint }));
+        self.operator_overrides = kept;
+        if marks.contains(&true) {
+            let new_indices = remove_marked(&mut self.endpoints, &marks);
+            self.endpoint_index = self
+                .endpoints
+                .iter()
+                .enumerate()
+                .map(|(index, endpoint)| (endpoint.entry.endpoint, index))
+                .collect();
             let attempts = self.requests.values_mut().flat_map(|request| &mut request.attempts);
-            attempts.for_each(|attempt| attempt.endpoint = places[attempt.endpoint]);
+            attempts.for_each(|attempt| attempt.endpoint = new_indices[attempt.endpoint]);
             self.rebuild_groups();
         }
     }
 
     pub(super) fn rebuild_groups(&mut self) {
         self.groups.iter_mut().for_each(Vec::clear);
-        self.zones.iter_mut().for_each(|zone| zone.endpoints = 0);
-        for (h, endpoint) in self
+        self.zones.iter_mut().for_each(|zone| zone.endpoint_count = 0);
+        for (index, endpoint) in self
             .endpoints
             .iter()
             .enumerate()
             .filter(|(_, endpoint)| endpoint.entry.state == EndpointState::Up)
         {
-            self.groups[endpoint.group].push(h);
-            self.zones.get_mut(endpoint.entry.zone).into_iter().for_each(|zone| zone.endpoints += 1);
+            self.groups[endpoint.group].push(index);
+            self.zones.get_mut(endpoint.entry.zone).into_iter().for_each(|zone| zone.endpoint_count += 1);
         }
-        // Subsetting: a balancer with few answers learns of few endpoints what it could not learn of all.
-        let enough = self.load.answers * ENDPOINT_MEMORY / RATE_MEMORY / ANSWERS_EACH;
-        let part = enough / self.groups.iter().map(Vec::len).sum::<usize>() as f64;
+        // A balancer with few responses cannot learn the state of all endpoints, but it can of a small
+        // subset.
+        let max_endpoints =
+            self.load.recent_responses * ENDPOINT_TIME_CONSTANT / RATE_TIME_CONSTANT / RESPONSES_PER_ENDPOINT;
+        let fraction = max_endpoints / self.groups.iter().map(Vec::len).sum::<usize>() as f64;
         let mut groups = std::mem::take(&mut self.groups);
-        groups.iter_mut().for_each(|group| self.take_part(group, part));
+        groups.iter_mut().for_each(|group| self.select_subset(group, fraction));
         self.groups = groups;
     }
 
-    /// Leaves the endpoints of a group that this balancer uses, about `part` of them.
-    fn take_part(&mut self, group: &mut Vec<usize>, part: f64) {
+    /// Reduces a group to the subset that this balancer uses, about `fraction` of its endpoints.
+    fn select_subset(&mut self, group: &mut Vec<usize>, fraction: f64) {
         let (len, balancers) = (group.len() as f64, f64::from(self.settings.balancer_count));
-        // Guards against endpoints that chance gives to many balancers: an arc of an order that all agree
-        // on, begun by the balancer's number. What rests is made up for by the next in the order.
-        let begins = len * self.fleet_position;
+        // With random subsets some endpoints would be in many subsets and others in few. Instead all
+        // balancers agree on a circular order of the endpoints, and each takes the arc that starts at its
+        // own position in the fleet. Ejected endpoints are replaced by the next ones in the order.
+        let start = len * self.fleet_position;
         let mut arc = group.clone();
-        arc.sort_by(|&a, &b| self.endpoints[a].subset_position.total_cmp(&self.endpoints[b].subset_position));
-        arc.rotate_left((begins as usize).min(group.len().saturating_sub(1)));
-        let most = ((part * len).ceil() as usize).max(MIN_SUBSET_SIZE);
-        // Guards against a cold endpoint that a few balancers leave to nobody: the next may begin so much
-        // later.
-        let own = most.max((2.0 * len / balancers).ceil() as usize).min(group.len());
-        for (n, &h) in arc.iter().enumerate() {
-            let endpoint = &mut self.endpoints[h];
-            endpoint.slow_start.in_own_subset = n < own;
-            endpoint.slow_start.round = (balancers * own as f64 / len).max(1.0);
-            // Guards against turns of one balancer that come together, where one request can use only one of
-            // them: at the endpoints of its arc they come one after another, as at each endpoint do those of
-            // all balancers whose arc it is in.
-            endpoint.slow_start.round_phase = ((begins.fract() - n as f64) / own as f64).rem_euclid(1.0);
+        arc.sort_by(|&left, &right| {
+            self.endpoints[left].subset_position.total_cmp(&self.endpoints[right].subset_position)
+        });
+        arc.rotate_left((start as usize).min(group.len().saturating_sub(1)));
+        let size = ((fraction * len).ceil() as usize).max(MIN_SUBSET_SIZE);
+        // With few balancers the arcs may leave gaps, and an endpoint in slow start in such a gap would get
+        // no requests. The arc must reach to where the next balancer may start.
+        let own = size.max((2.0 * len / balancers).ceil() as usize).min(group.len());
+        for (position, &index) in arc.iter().enumerate() {
+            let endpoint = &mut self.endpoints[index];
+            endpoint.slow_start.in_own_subset = position < own;
+            endpoint.slow_start.turn_count = (balancers * own as f64 / len).max(1.0);
+            // If a balancer had its turns at several endpoints at the same time, one request could use only
+            // one of them. Its turns therefore follow each other along its arc, as do the turns of all
+            // balancers at each endpoint.
+            endpoint.slow_start.turn_phase = ((start.fract() - position as f64) / own as f64).rem_euclid(1.0);
         }
-        if most < group.len() {
-            let ejected = |endpoint: &Endpoint| self.now < endpoint.outlier.ejected_until;
-            let useless =
+        if size < group.len() {
+            let is_ejected = |endpoint: &Endpoint| self.now < endpoint.outlier.ejected_until;
+            let is_unusable =
                 |endpoint: &Endpoint| !endpoint.slow_start.in_own_subset && self.warmth(endpoint) < 1.0;
-            arc.sort_by_key(|&h| ejected(&self.endpoints[h]) || useless(&self.endpoints[h]));
-            arc.truncate(most);
+            arc.sort_by_key(|&index| {
+                is_ejected(&self.endpoints[index]) || is_unusable(&self.endpoints[index])
+            });
+            arc.truncate(size);
             *group = arc;
         }
     }
--- a/balancer/src/logic/selection.rs
+++ b/balancer/src/logic/selection.rs
@@ -1,125 +1,151 @@
-//! The ordinary path: cost-based scheduling over the groups of endpoints.
+//! Endpoint selection: cost-based scheduling over the groups of endpoints.
 
 use super::{MIN_SELECTION_WEIGHT, PRIOR_RESPONSES};
 use crate::endpoint::Endpoint;
 use crate::hashing::rendezvous;
 use crate::interface::EndpointState;
-use crate::sampling::{RandomMinimum, weighted};
+use crate::sampling::{RandomMinimum, pick_weighted};
 use crate::state::{Balancer, Request};
 
-/// What a request costs where its key is warm, against elsewhere; a warm key spares about half the work.
-const WARM_COST: f64 = 0.5;
-/// The risk of being late grows faster than the wait: with this power of its part of the latency objective.
-const LATE_POWER: i32 = 2;
-/// An endpoint less ready than this is nobody's home for the moment.
-const MIN_HOME_WEIGHT: f64 = 0.5;
+/// Relative cost of a request at the endpoint that likely has its key cached: a cached key saves about half
+/// the work.
+const CACHED_KEY_COST: f64 = 0.5;
+/// The cost of a request is its expected latency, as a fraction of the latency objective, raised to this
+/// power: the risk of missing the objective grows faster than the wait.
+const LATENCY_COST_POWER: i32 = 2;
+/// An endpoint with a lower selection weight owns no keys.
+const MIN_KEY_OWNER_WEIGHT: f64 = 0.5;
 
 impl Balancer {
-    /// Cost-based scheduling: the shortest own queue of a sample from every group, then the cheapest winner.
-    pub(super) fn pick(&mut self, request: &Request) -> Option<usize> {
-        let near = self.near(request);
-        let mut best = self.cheapest(request, &near);
-        if best.endpoint.is_none() && !near.is_empty() {
-            let open: Vec<bool> = self.zones.iter().map(|zone| zone.open > 0.0).collect();
-            best = self.cheapest(request, &open);
+    /// Selects the endpoint for an attempt: the shortest queue of a sample from every group, then the
+    /// cheapest of these endpoints.
+    pub(super) fn select_endpoint(&mut self, request: &Request) -> Option<usize> {
+        let allowed_zones = self.select_zones(request);
+        let mut best = self.cheapest_of_groups(request, &allowed_zones);
+        if best.endpoint.is_none() && !allowed_zones.is_empty() {
+            let not_ejected: Vec<bool> = self.zones.iter().map(|zone| zone.weight > 0.0).collect();
+            best = self.cheapest_of_groups(request, &not_ejected);
         }
         if best.endpoint.is_none() {
-            // Every group sat out: a hardly ready endpoint, or one that failed this request, beats none.
-            let left = self.all_left(None);
-            let able = |&h: &usize| (left || self.open(h) > 0.0) && self.is_eligible(request, h);
-            let able = (0..self.endpoints.len()).filter(able);
-            best.endpoint = able.max_by(|&a, &b| {
-                self.endpoints[a].selection_weight.total_cmp(&self.endpoints[b].selection_weight)
+            // No group offered an endpoint: one with a low selection weight, or one that already failed this
+            // request, is better than none.
+            let all_ejected = self.all_zones_ejected(None);
+            let is_usable = |&index: &usize| {
+                (all_ejected || self.zone_weight(index) > 0.0) && self.is_eligible(request, index)
+            };
+            let usable = (0..self.endpoints.len()).filter(is_usable);
+            best.endpoint = usable.max_by(|&left, &right| {
+                self.endpoints[left].selection_weight.total_cmp(&self.endpoints[right].selection_weight)
             });
         }
-        // Departure, where endpoints keep keys warm: the key's home joins the comparison at a warm price.
-        let home = request.key.and_then(|key| self.home(request, key));
-        let home = home.filter(|&h| near.get(self.endpoints[h].entry.zone) != Some(&false));
-        home.filter(|&home| self.cost(request, home, WARM_COST) <= best.cost).or(best.endpoint)
+        // Where endpoints cache by key, the owner of the key competes with the best endpoint, at reduced
+        // cost.
+        let owner = request.key.and_then(|key| self.key_owner(request, key));
+        let owner =
+            owner.filter(|&index| allowed_zones.get(self.endpoints[index].entry.zone) != Some(&false));
+        owner.filter(|&owner| self.cost(request, owner, CACHED_KEY_COST) <= best.cost).or(best.endpoint)
     }
 
-    /// Of the groups in these zones, or in all where none are named.
-    fn cheapest(&mut self, request: &Request, zones: &[bool]) -> RandomMinimum {
-        let mut best = RandomMinimum::NONE;
-        for g in (0..self.groups.len()).filter(|g| zones.is_empty() || zones[g % zones.len()]) {
-            if let Some(winner) = self.shortest_of_sample(g, request) {
-                best.offer(self.cost(request, winner, 1.0), winner, &mut self.rng);
+    /// The cheapest endpoint of the groups in the marked zones; of all groups if `zones` is empty.
+    fn cheapest_of_groups(&mut self, request: &Request, zones: &[bool]) -> RandomMinimum {
+        let mut best = RandomMinimum::EMPTY;
+        for group in (0..self.groups.len()).filter(|group| zones.is_empty() || zones[group % zones.len()]) {
+            if let Some(candidate) = self.shortest_queue_of_sample(group, request) {
+                best.offer(self.cost(request, candidate, 1.0), candidate, &mut self.rng);
             }
         }
         best
     }
 
-    /// (own queue + 1) / speed of the kind, as a part of the latency objective, to the LATE_POWER, which
-    /// keeps the order. The way to a zone counts as time.
-    fn cost(&self, request: &Request, h: usize, part: f64) -> f64 {
-        let (endpoint, class) = (&self.endpoints[h], &self.settings.classes[request.class]);
-        let usual = part * self.usual(request.class, request.size) / class.latency_objective;
-        let way = self.distance(h) / class.latency_objective;
-        let late = ((f64::from(endpoint.connections.in_flight) + 1.0) * usual / self.speeds[endpoint.group]
-            + way)
-            .powi(LATE_POWER);
-        // Guards against an endpoint that answers, but not this class: no answer costs as much as a late one.
-        late + endpoint.responses.loss_rates[request.class]
+    /// The expected latency, which is (own queue + 1) / speed of the group plus the extra latency to the
+    /// zone, as a fraction of the latency objective and raised to LATENCY_COST_POWER. Such a power keeps
+    /// the order of endpoints.
+    fn cost(&self, request: &Request, index: usize, work_factor: f64) -> f64 {
+        let (endpoint, class) = (&self.endpoints[index], &self.settings.classes[request.class]);
+        let work = work_factor * self.expected_latency(request.class, request.size) / class.latency_objective;
+        let extra_latency = self.extra_zone_latency(index) / class.latency_objective;
+        let latency_cost = ((f64::from(endpoint.connections.in_flight) + 1.0) * work
+            / self.group_speeds[endpoint.group]
+            + extra_latency)
+            .powi(LATENCY_COST_POWER);
+        // An endpoint may lose the responses of this class only: a lost response costs as much as one at the
+        // latency objective.
+        latency_cost + endpoint.responses.loss_rates[request.class]
     }
 
-    /// The chance that an endpoint can be reached: an open connection can, a new one as lately seen.
-    fn reach(&self, h: usize) -> f64 {
-        let (endpoint, usual) = (&self.endpoints[h], self.load.connect_failures.shrunk(0.0, PRIOR_RESPONSES));
+    /// The probability that an endpoint can be reached: 1 over an open connection, otherwise estimated from
+    /// recent connection failures.
+    fn connect_probability(&self, index: usize) -> f64 {
+        let (endpoint, prior) =
+            (&self.endpoints[index], self.load.connect_failures.shrunk(0.0, PRIOR_RESPONSES));
         if endpoint.connections.has_capacity(self.settings.limits.streams_per_connection) {
             1.0
         } else {
-            1.0 - endpoint.connections.failures.shrunk(usual, 1.0)
+            1.0 - endpoint.connections.failures.shrunk(prior, 1.0)
         }
     }
 
-    /// Where all balancers send a key, without agreement: rendezvous hashing over the ready endpoints by
-    /// weight.
-    fn home(&self, request: &Request, key: u64) -> Option<usize> {
-        // Guards against a release: were cold endpoints nobody's home, the last warm ones would be
-        // everybody's.
+    /// The endpoint to which all balancers send a key: by weighted rendezvous hashing over the sound
+    /// endpoints, without communication.
+    fn key_owner(&self, request: &Request, key: u64) -> Option<usize> {
+        // Endpoints in slow start own keys too, in proportion to their warmth. During a rolling release the
+        // last endpoints that are warmed up would otherwise own all keys.
         let score = |endpoint: &Endpoint| {
             endpoint.entry.weight
                 * self.warmth(endpoint)
                 * rendezvous(key, u64::from(endpoint.entry.endpoint.0))
         };
-        let sound = |endpoint: &Endpoint| {
-            endpoint.entry.state == EndpointState::Up && endpoint.selection_weight > MIN_HOME_WEIGHT
+        let is_sound = |endpoint: &Endpoint| {
+            endpoint.entry.state == EndpointState::Up && endpoint.selection_weight > MIN_KEY_OWNER_WEIGHT
         };
-        let endpoints = self.endpoints.iter().enumerate().filter(|(_, endpoint)| sound(endpoint));
-        let best = endpoints.map(|(h, endpoint)| (h, score(endpoint))).max_by(|a, b| a.1.total_cmp(&b.1));
-        best.map(|(h, _)| h).filter(|&h| self.is_eligible(request, h))
+        let endpoints = self.endpoints.iter().enumerate().filter(|(_, endpoint)| is_sound(endpoint));
+        let best = endpoints
+            .map(|(index, endpoint)| (index, score(endpoint)))
+            .max_by(|left, right| left.1.total_cmp(&right.1));
+        best.map(|(index, _)| index).filter(|&index| self.is_eligible(request, index))
     }
 
-    /// Samples with replacement, each endpoint with the weight of its readiness; ties at random.
-    fn shortest_of_sample(&mut self, g: usize, request: &Request) -> Option<usize> {
-        let fit =
-            |h: usize| !request.attempts.iter().any(|a| a.endpoint == h) && self.is_eligible(request, h);
-        // Guards against slow or refused handshakes: connections that are open already go on serving.
-        let able = |endpoint: &Endpoint| {
+    /// Samples the endpoints of a group with replacement, each with its selection weight, and returns the
+    /// one with the shortest queue; ties are broken at random.
+    fn shortest_queue_of_sample(&mut self, group: usize, request: &Request) -> Option<usize> {
+        let is_candidate = |index: usize| {
+            !request.attempts.iter().any(|attempt| attempt.endpoint == index)
+                && self.is_eligible(request, index)
+        };
+        let response_weight = |endpoint: &Endpoint| {
             endpoint.selection_weight
                 * (1.0 - endpoint.responses.loss_rates[request.class]).powi(4).max(MIN_SELECTION_WEIGHT)
         };
-        let weight = |h: usize| if fit(h) { able(&self.endpoints[h]) * self.reach(h).powi(2) } else { 0.0 };
-        let ready: Vec<(usize, f64)> = self.groups[g].iter().map(|&h| (h, weight(h))).collect();
-        let total: f64 = ready.iter().map(|(_, w)| w).sum();
+        // While new connections are slow or fail, endpoints with an open connection are preferred: they still
+        // serve.
+        let weight = |index: usize| {
+            if is_candidate(index) {
+                response_weight(&self.endpoints[index]) * self.connect_probability(index).powi(2)
+            } else {
+                0.0
+            }
+        };
+        let weights: Vec<(usize, f64)> =
+            self.groups[group].iter().map(|&index| (index, weight(index))).collect();
+        let total: f64 = weights.iter().map(|(_, weight)| weight).sum();
         if total <= 0.0 {
             return None;
         }
-        // An unready group is sampled only as often as its best endpoint deserves.
-        let fullest = ready.iter().fold(0.0, |most: f64, (_, w)| most.max(*w));
-        if fullest < 1.0 && self.random_unit() > fullest {
+        // A group without a fully weighted endpoint offers one only as often as its highest weight says.
+        let max_weight = weights.iter().fold(0.0, |max: f64, (_, weight)| max.max(*weight));
+        if max_weight < 1.0 && self.random_unit() > max_weight {
             return None;
         }
-        let mut shortest = RandomMinimum::NONE;
-        for _ in 0..2.max(ready.len().div_ceil(2)) {
-            let endpoint = weighted(&ready, self.random_unit() * total)?;
-            // Departure, where handshakes have a price: of equal queues, one behind an open connection.
-            let dial = self.settings.prices.handshake > 0.0
+        let mut shortest = RandomMinimum::EMPTY;
+        for _ in 0..2.max(weights.len().div_ceil(2)) {
+            let endpoint = pick_weighted(&weights, self.random_unit() * total)?;
+            // If new connections have a price, the queue behind an open connection wins among equal queues.
+            let needs_connection = self.settings.prices.handshake > 0.0
                 && !self.endpoints[endpoint]
                     .connections
                     .has_capacity(self.settings.limits.streams_per_connection);
-            let queue =
-                f64::from(self.endpoints[endpoint].connections.in_flight) + if dial { 0.5 } else { 0.0 };
+            let queue = f64::from(self.endpoints[endpoint].connections.in_flight)
+                + if needs_connection { 0.5 } else { 0.0 };
             shortest.offer(queue, endpoint, &mut self.rng);
         }
         shortest.endpoint
--- a/balancer/src/proportional_integral.rs
+++ b/balancer/src/proportional_integral.rs
@@ -1,28 +1,30 @@
-//! A proportional-integral controller for a share.
+//! A proportional-integral controller whose output is a share.
 
-/// A share, from 0 to `MOST`, that a proportional-integral rule steers.
+/// A share from 0 to [`ProportionalIntegral::MAX_SHARE`], set by a proportional-integral controller.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ProportionalIntegral {
-    held: f64,
+    /// The integral term.
+    integral: f64,
     pub(crate) share: f64,
-    /// By how much its figure was too high when it was last steered.
-    pub(crate) over: f64,
+    /// By how much the controlled value exceeded its target at the last update.
+    pub(crate) excess: f64,
 }
 
 impl ProportionalIntegral {
-    const MOST: f64 = 0.95;
+    const MAX_SHARE: f64 = 0.95;
 
-    /// The share is this from now on, until its figure says otherwise.
+    /// Sets the share; later updates continue from there.
     pub(crate) fn set(&mut self, share: f64) {
-        self.held = share.clamp(0.0, ProportionalIntegral::MOST);
-        self.share = self.held;
+        self.integral = share.clamp(0.0, ProportionalIntegral::MAX_SHARE);
+        self.share = self.integral;
     }
 
-    /// Takes in by how much too high its figure is: `at_once` of that, and `growth` of it for each second
-    /// that passed.
-    pub(crate) fn steer(&mut self, over: f64, passed: f64, at_once: f64, growth: f64) {
-        self.over = over;
-        self.held = (self.held + growth * over * passed / 1000.0).clamp(0.0, ProportionalIntegral::MOST);
-        self.share = (self.held + at_once * over).clamp(0.0, ProportionalIntegral::MOST);
+    /// Updates the share from the `excess` of the controlled value over its target. `elapsed` is in
+    /// milliseconds, and `integral_gain` is per second.
+    pub(crate) fn update(&mut self, excess: f64, elapsed: f64, proportional_gain: f64, integral_gain: f64) {
+        self.excess = excess;
+        self.integral = (self.integral + integral_gain * excess * elapsed / 1000.0)
+            .clamp(0.0, ProportionalIntegral::MAX_SHARE);
+        self.share = (self.integral + proportional_gain * excess).clamp(0.0, ProportionalIntegral::MAX_SHARE);
     }
 }
--- a/balancer/src/sampling.rs
+++ b/balancer/src/sampling.rs
@@ -1,34 +1,34 @@
-//! Choices at random: among equal minima, and by weight.
+//! Random selection: the minimum with random tie-breaking, and weighted sampling.
 
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
-/// Keeps the least of what it is offered; of equals, each with the same chance.
+/// Keeps the endpoint with the lowest cost that it was offered; among ties, each with the same probability.
 pub(crate) struct RandomMinimum {
     pub(crate) cost: f64,
     pub(crate) endpoint: Option<usize>,
-    equals: u32,
+    ties: u32,
 }
 
 impl RandomMinimum {
-    pub(crate) const NONE: RandomMinimum = RandomMinimum { cost: f64::INFINITY, endpoint: None, equals: 0 };
+    pub(crate) const EMPTY: RandomMinimum = RandomMinimum { cost: f64::INFINITY, endpoint: None, ties: 0 };
 
     pub(crate) fn offer(&mut self, cost: f64, endpoint: usize, rng: &mut Pcg32) {
         if cost > self.cost {
             return;
         }
-        self.equals = if cost < self.cost { 1 } else { self.equals + 1 };
-        if self.equals == 1 || (u64::from(rng.next_u32()) * u64::from(self.equals)) >> 32 == 0 {
+        self.ties = if cost < self.cost { 1 } else { self.ties + 1 };
+        if self.ties == 1 || (u64::from(rng.next_u32()) * u64::from(self.ties)) >> 32 == 0 {
             (self.cost, self.endpoint) = (cost, Some(endpoint));
         }
     }
 }
 
-/// The entry that `point`, between 0 and the sum of the weights, falls on.
-pub(crate) fn weighted(entries: &[(usize, f64)], mut point: f64) -> Option<usize> {
-    let drawn = entries.iter().find(|(_, weight)| {
+/// The entry at `point` in the cumulative weights, where `point` is between 0 and the sum of the weights.
+pub(crate) fn pick_weighted(entries: &[(usize, f64)], mut point: f64) -> Option<usize> {
+    let picked = entries.iter().find(|(_, weight)| {
         point -= weight;
         point < 0.0
     });
-    drawn.or(entries.iter().rfind(|(_, weight)| *weight > 0.0)).map(|(entry, _)| *entry)
+    picked.or(entries.iter().rfind(|(_, weight)| *weight > 0.0)).map(|(entry, _)| *entry)
 }
--- a/balancer/src/state/load.rs
+++ b/balancer/src/state/load.rs
@@ -1,66 +1,80 @@
-//! What is remembered of classes and of the load.
+//! Statistics of classes and of the load of all endpoints.
 
 use crate::decaying_mean::DecayingMean;
 use crate::interface::Millis;
 use crate::proportional_integral::ProportionalIntegral;
 
-/// What a class usually takes per unit of size.
+/// Statistics of a class of requests.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ClassStats {
-    pub(crate) usual: DecayingMean,
-    /// Of each arrival; its count is how many came lately.
+    /// Latency per unit of size.
+    pub(crate) latency_per_size: DecayingMean,
+    /// Sizes of the requests that arrived; the weight is their recent number.
     pub(crate) size: DecayingMean,
-    /// 1 for each answer within the latency objective, over the requests that came first, repeats left out.
-    pub(crate) kept: DecayingMean,
+    /// The sum counts responses within the latency objective, the weight counts requests other than clients'
+    /// retries.
+    pub(crate) in_objective: DecayingMean,
 }
 
 impl ClassStats {
-    pub(crate) fn fade(&mut self, keep: f64) {
-        self.usual.fade(keep);
-        self.size.fade(keep);
-        self.kept.fade(keep);
+    pub(crate) fn decay(&mut self, factor: f64) {
+        self.latency_per_size.decay(factor);
+        self.size.decay(factor);
+        self.in_objective.decay(factor);
     }
 }
 
 #[derive(Default)]
 pub(crate) struct Load {
-    /// By class.
+    /// By class: latency as a fraction of the latency objective, at most 1, weighted by priority.
     pub(crate) overloads: Vec<DecayingMean>,
-    /// By class: it is answered well where another one lacks endpoints.
-    pub(crate) calm: Vec<bool>,
-    /// What an attempt without an answer counts for in it.
-    pub(crate) silence: f64,
-    /// 1 for each attempt that was out for long and was answered, 0 for each that was not.
-    pub(crate) overdue: DecayingMean,
-    /// 1 for each connection to any endpoint that was not made, 0 for each that was.
+    /// By class: whether it is exempt from shedding, because its own overload is low and another class lacks
+    /// endpoints that still serve this one.
+    pub(crate) is_shedding_exempt: Vec<bool>,
+    /// Weight of an attempt without a response in `overloads`.
+    pub(crate) timeout_weight: f64,
+    /// 1 for each overdue attempt that got a response in the end, 0 for each that did not.
+    pub(crate) overdue_responses: DecayingMean,
+    /// 1 for each connection to any endpoint that failed, 0 for each that was established.
     pub(crate) connect_failures: DecayingMean,
-    /// Of a request that arrives.
+    /// Mean priority weight of the requests that arrive.
     pub(crate) mean_priority_weight: f64,
-    /// Answers lately, faded over RATE_MEMORY.
-    pub(crate) answers: f64,
-    /// The share of the work that is refused.
-    pub(crate) shed: ProportionalIntegral,
-    /// Usual time of all attempts that are out now, and what that was while nothing was strained.
-    pub(crate) open_work: f64,
-    pub(crate) open_calm: f64,
-    /// The part of it whose answers are taken to be lost: no work that is still to be done.
-    pub(crate) open_lost: f64,
-    pub(crate) strained: f64,
+    /// Number of responses, decayed over `RATE_TIME_CONSTANT`.
+    pub(crate) recent_responses: f64,
+    /// The share of the work that is shed.
+    pub(crate) shedding: ProportionalIntegral,
+    /// Expected latency of all attempts in flight.
+    pub(crate) work_in_flight: f64,
+    /// `work_in_flight` for each ready endpoint, as it is without overload.
+    pub(crate) baseline_work: f64,
+    /// The part of `work_in_flight` whose responses are taken to be lost: no endpoint is working on it.
+    pub(crate) lost_work_in_flight: f64,
+    /// Recent maximum of the overload, decayed over `RATE_TIME_CONSTANT`.
+    pub(crate) peak_overload: f64,
+    /// Number of endpoints that are ready; those in slow start and in zones that ramp up count in part.
     pub(crate) ready_endpoints: f64,
-    /// Time since the first event; what is taken to be calm at the start weighs as much as OPEN_UP.
-    pub(crate) age: Millis,
+    /// Time since the first event, plus the time that the initial `baseline_work` counts for.
+    pub(crate) observed_time: Millis,
 }
 
 impl Load {
-    pub(crate) fn new(classes: usize, open_calm: f64, age: Millis, strained: f64) -> Load {
-        let (overloads, calm) = (vec![DecayingMean::default(); classes], vec![false; classes]);
-        Load { overloads, calm, open_calm, age, strained, silence: 1.0, ..Load::default() }
+    pub(crate) fn new(classes: usize, baseline_work: f64, observed_time: Millis, peak_overload: f64) -> Load {
+        let (overloads, is_shedding_exempt) = (vec![DecayingMean::default(); classes], vec![false; classes]);
+        Load {
+            overloads,
+            is_shedding_exempt,
+            baseline_work,
+            observed_time,
+            peak_overload,
+            timeout_weight: 1.0,
+            ..Load::default()
+        }
     }
 
-    /// Keeps so much of what was seen over the memory of classes, of endpoints and of rates.
-    pub(crate) fn fade(&mut self, class: f64, endpoint: f64, rate: f64) {
-        self.overdue.fade(class);
-        self.connect_failures.fade(endpoint);
-        self.answers *= rate;
+    /// Multiplies the weight of past observations by the factor of the time constant of each.
+    pub(crate) fn decay(&mut self, class_factor: f64, endpoint_factor: f64, rate_factor: f64) {
+        self.overdue_responses.decay(class_factor);
+        self.connect_failures.decay(endpoint_factor);
+        self.recent_responses *= rate_factor;
     }
 }
--- a/balancer/src/state/request.rs
+++ b/balancer/src/state/request.rs
@@ -1,92 +1,108 @@
-//! What is remembered of a request and of its attempts.
+//! State of a request and of its attempts.
 
 use crate::interface::Millis;
 
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
+    /// Index of the endpoint.
     pub(crate) endpoint: usize,
-    /// The zone and the cell of the endpoint when it was sent: who knows its key, whatever the list says of
-    /// the endpoint later.
-    pub(crate) place: (usize, u32),
-    pub(crate) sent: Millis,
+    /// Zone and cell of the endpoint when the attempt was sent. They determine which endpoints recognise its
+    /// idempotency key, even if the endpoint list changes later.
+    pub(crate) zone_and_cell: (usize, u32),
+    pub(crate) sent_at: Millis,
+    /// Expected work of the endpoint; 0 while the body of the request is pending.
     pub(crate) work: f64,
     /// It had to open a connection.
-    pub(crate) dialled: bool,
-    pub(crate) open: bool,
+    pub(crate) opened_connection: bool,
+    pub(crate) in_flight: bool,
     pub(crate) may_have_run: bool,
-    /// Not a byte of it was written: it is none of the attempts that the request has.
+    /// No byte of it was written, so it does not count towards the limit of attempts.
     pub(crate) never_sent: bool,
-    /// What it counts for in the work sent to the endpoint.
-    pub(crate) counted: Millis,
+    /// What it added to [`Endpoint::recent_work`](crate::endpoint::Endpoint::recent_work).
+    pub(crate) counted_work: Millis,
 }
 
 impl Attempt {
-    /// Just sent: from now on it may have run, until its outcome proves that it never did.
+    /// An attempt that was just sent. It may have been executed until its outcome proves the opposite.
     pub(crate) fn new(
         endpoint: usize,
-        place: (usize, u32),
-        sent: Millis,
+        zone_and_cell: (usize, u32),
+        sent_at: Millis,
         work: f64,
-        dialled: bool,
+        opened_connection: bool,
     ) -> Attempt {
-        let (never_sent, counted) = (false, 0.0);
-        Attempt { endpoint, place, sent, work, dialled, open: true, may_have_run: true, never_sent, counted }
+        let (never_sent, counted_work) = (false, 0.0);
+        Attempt {
+            endpoint,
+            zone_and_cell,
+            sent_at,
+            work,
+            opened_connection,
+            in_flight: true,
+            may_have_run: true,
+            never_sent,
+            counted_work,
+        }
     }
 }
 
 pub(crate) struct Request {
     pub(crate) class: usize,
-    pub(crate) arrived: Millis,
+    pub(crate) arrived_at: Millis,
     pub(crate) deadline: Millis,
-    /// Size hint, or 1 where there are none.
+    /// The size hint, or 1 without one.
     pub(crate) size: f64,
+    /// Hash of its key, if endpoints cache by key.
     pub(crate) key: Option<u64>,
     pub(crate) attempts: Vec<Attempt>,
+    /// Its response is being streamed to the client.
     pub(crate) streaming: bool,
+    /// The client has its final response or has disconnected.
     pub(crate) ended: bool,
-    /// Its body may be sent once at the most, and is still coming.
-    pub(crate) once: bool,
+    /// Its body was still being received when it arrived, so it can be sent only once.
+    pub(crate) send_once: bool,
     pub(crate) body_pending: bool,
-    /// Nothing more may be sent for it: its body was sent in part, or its client has closed.
+    /// No further attempt may start: a part of the body was sent that is no longer buffered, or the client
+    /// closed its sending side.
     pub(crate) cannot_resend: bool,
 }
 
 impl Request {
-    /// Just arrived, with nothing sent for it.
+    /// A request that just arrived and has no attempts yet.
     pub(crate) fn new(
         class: usize,
-        arrived: Millis,
-        patience: Millis,
+        arrived_at: Millis,
+        timeout: Millis,
         size: f64,
         key: Option<u64>,
     ) -> Request {
         Request {
             class,
-            arrived,
-            deadline: arrived + patience,
+            arrived_at,
+            deadline: arrived_at + timeout,
             size,
             key,
             attempts: Vec::new(),
             streaming: false,
             ended: false,
-            once: false,
+            send_once: false,
             body_pending: false,
             cannot_resend: false,
         }
     }
 
-    /// Its final answer is still owed.
-    pub(crate) fn waits(&self) -> bool {
+    /// Whether its final response must still be sent.
+    pub(crate) fn awaits_response(&self) -> bool {
         !self.ended && !self.streaming
     }
-    pub(crate) fn open_attempts(&self) -> usize {
-        self.attempts.iter().filter(|a| a.open).count()
+    pub(crate) fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
     pub(crate) fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(|a| a.may_have_run)
+        self.attempts.iter().any(|attempt| attempt.may_have_run)
     }
-    /// Those that a limit of attempts is for: all but those that were never sent.
+    /// The attempts that count towards the limit: all but those that were never sent.
     pub(crate) fn attempts_made(&self) -> usize {
-        self.attempts.iter().filter(|a| !a.never_sent).count()
+        self.attempts.iter().filter(|attempt| !attempt.never_sent).count()
     }
 }
--- a/balancer/src/state/zone.rs
+++ b/balancer/src/state/zone.rs
@@ -1,77 +1,85 @@
-//! What is remembered of a zone.
+//! State of a zone.
 
 use crate::decaying_mean::DecayingMean;
 use crate::interface::{EjectedZone, Locality, Millis};
 
-/// What is known of a zone as one.
+/// State of a zone as a whole.
 pub(crate) struct Zone {
-    /// How near it is: 0 the own one, 1 others of its region, 2 all else.
+    /// Proximity: 0 for the own zone, 1 for others in its region, 2 for all others. If the own zone is not
+    /// known, all zones are 0.
     pub(crate) tier: usize,
-    /// The chance that a request that could go there may: 1, or less while it returns, or 0 while it is left.
-    pub(crate) open: f64,
-    pub(crate) left: Option<EjectedZone>,
-    /// Until when it is left alone, and how often it was left lately.
-    pub(crate) rest_until: Millis,
-    pub(crate) rests: u32,
-    /// Endpoints that it has by the list.
-    pub(crate) endpoints: usize,
-    /// When any endpoint there last answered anything, and answers lately.
+    /// Traffic weight, the probability that a request may use the zone: 1 normally, 0 while it is ejected,
+    /// and in between while its traffic ramps up after an ejection.
+    pub(crate) weight: f64,
+    /// Set while the zone is ejected.
+    pub(crate) ejection: Option<EjectedZone>,
+    /// When the latest ejection allows a trial request.
+    pub(crate) ejected_until: Millis,
+    /// Recent ejections in a row.
+    pub(crate) ejections: u32,
+    /// Endpoints in the zone that are up.
+    pub(crate) endpoint_count: usize,
+    /// When an endpoint of the zone last responded.
     pub(crate) last_response_at: Millis,
-    pub(crate) answers: f64,
-    /// Latency over latency objective, at most 1, of what was answered there.
+    /// Number of responses, decayed over `RATE_TIME_CONSTANT`.
+    pub(crate) recent_responses: f64,
+    /// Latency of responses from the zone as a fraction of the latency objective, at most 1.
     pub(crate) overload: DecayingMean,
-    /// The least by which latency there exceeds what such a request usually takes; infinite before the first.
-    pub(crate) least: Millis,
+    /// The minimum by which latency from the zone exceeded the expected latency of the request; infinite
+    /// before the first response.
+    pub(crate) min_extra_latency: Millis,
 }
 
 impl Zone {
-    /// In use, with nothing known of it.
+    /// A zone in use, without any observations.
     pub(crate) fn new(tier: usize) -> Zone {
-        let (last_response_at, overload, least) = (f64::NEG_INFINITY, DecayingMean::default(), f64::INFINITY);
-        let (rest_until, rests, endpoints, answers) = (f64::NEG_INFINITY, 0, 0, 0.0);
+        let (last_response_at, overload, min_extra_latency) =
+            (f64::NEG_INFINITY, DecayingMean::default(), f64::INFINITY);
+        let (ejected_until, ejections, endpoint_count, recent_responses) = (f64::NEG_INFINITY, 0, 0, 0.0);
         Zone {
             tier,
-            open: 1.0,
-            left: None,
-            rest_until,
-            rests,
-            endpoints,
+            weight: 1.0,
+            ejection: None,
+            ejected_until,
+            ejections,
+            endpoint_count,
             last_response_at,
-            answers,
+            recent_responses,
             overload,
-            least,
+            min_extra_latency,
         }
     }
 
-    /// One for each zone, by how near they are.
-    pub(crate) fn all(locality: &Locality) -> Vec<Zone> {
-        let region = locality.own_zone.map(|own| locality.regions[own]);
-        let tier = |(zone, of): (usize, &usize)| match locality.own_zone {
+    /// One for each zone of the settings.
+    pub(crate) fn for_locality(locality: &Locality) -> Vec<Zone> {
+        let own_region = locality.own_zone.map(|own| locality.regions[own]);
+        let tier = |(zone, region): (usize, &usize)| match locality.own_zone {
             None => 0,
             Some(own) if own == zone => 0,
-            _ if Some(*of) == region => 1,
+            _ if Some(*region) == own_region => 1,
             _ => 2,
         };
         locality.regions.iter().enumerate().map(|zone| Zone::new(tier(zone))).collect()
     }
 
-    /// Takes in that the way there took `beyond` more than usual; what is more than the least raises it by
-    /// `rise` of that.
-    pub(crate) fn measure(&mut self, beyond: Millis, rise: f64) {
-        let raised = self.least + rise * (beyond - self.least);
-        self.least = if beyond < self.least { beyond } else { raised };
+    /// Updates the minimum of the extra latency. A measurement above the minimum raises it by the fraction
+    /// `rise` of the difference, so that it follows a path that became slower.
+    pub(crate) fn record_extra_latency(&mut self, extra_latency: Millis, rise: f64) {
+        let raised = self.min_extra_latency + rise * (extra_latency - self.min_extra_latency);
+        self.min_extra_latency = if extra_latency < self.min_extra_latency { extra_latency } else { raised };
     }
 
-    /// Keeps so much of its overload, and of what was seen over the memory of rates.
-    pub(crate) fn fade(&mut self, overload: f64, rate: f64) {
-        self.overload.fade(overload);
-        self.answers *= rate;
+    /// Multiplies the weight of past observations by these factors.
+    pub(crate) fn decay(&mut self, overload_factor: f64, rate_factor: f64) {
+        self.overload.decay(overload_factor);
+        self.recent_responses *= rate_factor;
     }
 
-    /// Gets nothing from now on, until it has rested for so long and a trial was answered.
-    pub(crate) fn leave(&mut self, now: Millis, rest: Millis, left: EjectedZone) {
-        let left = EjectedZone { ejected_at: now, own_network_suspected: false, ..left };
-        (self.open, self.left) = (0.0, Some(self.left.unwrap_or(left)));
-        (self.rest_until, self.rests) = (now + rest, self.rests + 1);
+    /// Ejects the zone: it receives nothing for `duration`, and after that only trial requests until its
+    /// endpoints respond.
+    pub(crate) fn eject(&mut self, now: Millis, duration: Millis, ejection: EjectedZone) {
+        let ejection = EjectedZone { ejected_at: now, own_network_suspected: false, ..ejection };
+        (self.weight, self.ejection) = (0.0, Some(self.ejection.unwrap_or(ejection)));
+        (self.ejected_until, self.ejections) = (now + duration, self.ejections + 1);
     }
 }
