--- a/balancer/benches/decision.rs
+++ b/balancer/benches/decision.rs
@@ -1,5 +1,5 @@
-//! What one request costs the decisions, from its arrival to the end of its attempt, beside 200 endpoints:
-//! with locality and without. The look at everything, ten times a second, is measured by itself.
+//! CPU time of the balancer with 200 endpoints, with and without locality: for one request, from its
+//! arrival to the end of its attempt, and for the periodic evaluation, which runs ten times per second.
 
 use balancer::*;
 use criterion::{Criterion, criterion_group, criterion_main};
@@ -74,48 +74,49 @@
     }
 }
 
-/// A balancer beside 200 endpoints that has served for a while, its clock, and the next request.
-struct Warm {
+/// A balancer with 200 endpoints that has already served requests.
+struct Harness {
     balancer: Balancer,
     now: Millis,
-    next: u64,
-    out: Vec<Action>,
+    last_id: u64,
+    actions: Vec<Action>,
 }
 
-impl Warm {
-    fn new(locality: bool) -> Warm {
-        let balancer = Balancer::new(settings(locality), 1).expect("settings that can be used");
-        let mut warm = Warm { balancer, now: 1000.0, next: 0, out: Vec::new() };
-        let endpoint = |n: u32| EndpointEntry {
-            endpoint: EndpointId(n),
-            zone: n as usize % 4,
-            kind: n as usize % 3,
+impl Harness {
+    fn new(locality: bool) -> Harness {
+        let balancer = Balancer::new(settings(locality), 1).expect("the settings are valid");
+        let mut harness = Harness { balancer, now: 1000.0, last_id: 0, actions: Vec::new() };
+        let endpoint = |id: u32| EndpointEntry {
+            endpoint: EndpointId(id),
+            zone: id as usize % 4,
+            kind: id as usize % 3,
             cell: 0,
             weight: 1.0,
             started_at: None,
             state: EndpointState::Up,
         };
-        warm.event(Event::EndpointUpdate(EndpointUpdate::CachedSnapshot((0..200).map(endpoint).collect())));
+        harness
+            .handle(Event::EndpointUpdate(EndpointUpdate::CachedSnapshot((0..200).map(endpoint).collect())));
         for _ in 0..2000 {
-            warm.request();
+            harness.serve_request();
         }
-        warm
+        harness
     }
 
-    fn event(&mut self, event: Event) {
-        self.out.clear();
-        self.balancer.handle(self.now, event, &mut self.out);
+    fn handle(&mut self, event: Event) {
+        self.actions.clear();
+        self.balancer.handle(self.now, event, &mut self.actions);
     }
 
-    /// One request, answered after 20 ms; the next one comes 10 ms later.
-    fn request(&mut self) {
-        self.next += 1;
-        let id = RequestId(self.next);
-        let metadata = RequestMetadata { class: (self.next % 2) as usize, ..RequestMetadata::default() };
+    /// One request whose response arrives after 20 ms; the next request follows 10 ms later.
+    fn serve_request(&mut self) {
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
+        let metadata = RequestMetadata { class: (self.last_id % 2) as usize, ..RequestMetadata::default() };
         let request = NewRequest { id, timeout: 750.0, body_pending: false, metadata };
-        self.event(Event::Request(request));
+        self.handle(Event::Request(request));
         self.now += 20.0;
-        let report = LoadReport { utilization: Some(0.5), ..LoadReport::default() };
+        let load_report = LoadReport { utilization: Some(0.5), ..LoadReport::default() };
         let (outcome, latency) = (Outcome::Served, 20.0);
         let end = AttemptEnd {
             id,
@@ -123,34 +124,34 @@
             outcome,
             latency,
             request_ended: true,
-            load_report: report,
+            load_report,
             cannot_resend: false,
         };
-        self.event(Event::AttemptFinished(end));
+        self.handle(Event::AttemptFinished(end));
         self.now += 10.0;
     }
 
-    /// The look that is due every 100 ms; its token is the last one that was given.
-    fn look(&mut self, token: &mut u64) {
+    /// The evaluation that is due every 100 ms. `token` is that of its timer and is replaced by the next one.
+    fn evaluate(&mut self, token: &mut u64) {
         self.now += 100.0;
-        self.event(Event::TimerFired { token: *token });
-        let given = self.out.iter().find_map(|action| match action {
+        self.handle(Event::TimerFired { token: *token });
+        let next_token = self.actions.iter().find_map(|action| match action {
             Action::SetTimer { token, .. } => Some(*token),
             _ => None,
         });
-        *token = given.unwrap_or(*token);
+        *token = next_token.unwrap_or(*token);
     }
 }
 
 fn decisions(criterion: &mut Criterion) {
     for (name, locality) in [("off", false), ("on", true)] {
-        let mut warm = Warm::new(locality);
+        let mut harness = Harness::new(locality);
         criterion.bench_function(&format!("request, 200 hosts, locality {name}"), |bencher| {
-            bencher.iter(|| warm.request());
+            bencher.iter(|| harness.serve_request());
         });
-        let (mut warm, mut token) = (Warm::new(locality), 1);
+        let (mut harness, mut token) = (Harness::new(locality), 1);
         criterion.bench_function(&format!("look, 200 hosts, locality {name}"), |bencher| {
-            bencher.iter(|| warm.look(&mut token));
+            bencher.iter(|| harness.evaluate(&mut token));
         });
     }
 }
