--- a/client-proxy/tests/attempts.rs
+++ b/client-proxy/tests/attempts.rs
@@ -10,7 +10,7 @@
 use common::*;
 use serde_json::json;
 
-const KEY: &str = "Idempotency-Key: 5c0f\r\n";
+const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key: 5c0f\r\n";
 
 fn ok(body: &str) -> Reply {
     Reply::Send(http_response("200 OK", "X-Pressure: util=0.61,qps=3,eps=x,odd\r\n", body))
@@ -202,7 +202,7 @@
     assert_eq!(proxy.client().round_trip(&look_request(300)).status(), 503);
     // A keyed request, of which an endpoint would drop a repeat. The first attempt may still be running, so
     // the client gets 502.
-    assert_eq!(proxy.client().round_trip(&post("keep", 300, KEY, "")).status(), 502);
+    assert_eq!(proxy.client().round_trip(&post("keep", 300, IDEMPOTENCY_KEY_HEADER, "")).status(), 502);
 }
 
 /// A truncated response must not reach the client as a complete one. A reset never ends a response,
--- a/client-proxy/tests/bodies.rs
+++ b/client-proxy/tests/bodies.rs
@@ -11,9 +11,9 @@
 use common::*;
 use serde_json::json;
 
-const KEY: &str = "Idempotency-Key: 5c0f\r\n";
+const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key: 5c0f\r\n";
 /// Far more than is buffered, and than the initial socket buffers of the system hold.
-const LONG: usize = 3 << 20;
+const LONG_BODY_BYTES: usize = 3 << 20;
 
 fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|i| (i * 31 + i / 251) as u8).collect()
@@ -112,16 +112,18 @@
 fn long_request_is_forwarded_in_every_coding() {
     let (upstream, bodies) = body_recording_upstream();
     let (proxy, _discovery) = proxy_for(&[upstream]);
-    let sent = pattern(LONG);
+    let sent = pattern(LONG_BODY_BYTES);
     let mut client = proxy.client();
     for form in ["fixed", "chunked", "expected"] {
         let mut text = post_without_length("pay", "").into_bytes();
         match form {
             "chunked" => text.extend(b"Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n"),
             "expected" => {
-                text.extend(format!("Expect: 100-continue\r\nContent-Length: {LONG}\r\n\r\n").bytes());
+                text.extend(
+                    format!("Expect: 100-continue\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n").bytes(),
+                );
             }
-            _ => text.extend(format!("Content-Length: {LONG}\r\n\r\n").bytes()),
+            _ => text.extend(format!("Content-Length: {LONG_BODY_BYTES}\r\n\r\n").bytes()),
         }
         client.stream.write_all(&text).expect("could not write");
         if form == "expected" {
@@ -129,7 +131,7 @@
         }
         let mut from = 0;
         for piece in [1, 5, 70_000, 3].into_iter().cycle() {
-            let to = LONG.min(from + piece);
+            let to = LONG_BODY_BYTES.min(from + piece);
             if form == "chunked" {
                 client.write(&format!("{:x};name=\"value\"\r\n", to - from));
             }
@@ -138,11 +140,11 @@
                 client.write("\r\n");
             }
             from = to;
-            if from > LONG / 2 && from < LONG / 2 + 70_000 {
+            if from > LONG_BODY_BYTES / 2 && from < LONG_BODY_BYTES / 2 + 70_000 {
                 // A request is admitted only with its last byte.
                 assert_eq!(proxy.metrics()["concurrent"], 0, "{form}");
             }
-            if from == LONG {
+            if from == LONG_BODY_BYTES {
                 break;
             }
         }
@@ -162,13 +164,16 @@
     let (go, gate) = channel::<()>();
     let gate = Mutex::new(gate);
     let upstream = raw_upstream(move |reader, writer| {
-        let sent = pattern(LONG);
+        let sent = pattern(LONG_BODY_BYTES);
         while let Some(head) = read_head(reader) {
-            let half = LONG / 2;
+            let half = LONG_BODY_BYTES / 2;
             let start = match () {
-                _ if head.contains("/fixed") => format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n"),
+                _ if head.contains("/fixed") => {
+                    format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n")
+                }
                 _ if head.contains("/interim") => format!(
-                    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n"
+                    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n\
+                     HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n"
                 ),
                 _ if head.contains("/chunked") => {
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".into()
@@ -197,7 +202,7 @@
         }
     });
     let (proxy, _discovery) = proxy_for(&[upstream]);
-    let wanted = pattern(LONG);
+    let wanted = pattern(LONG_BODY_BYTES);
     for form in ["fixed", "interim", "chunked", "ended"] {
         let mut client = proxy.client();
         client.write(&look_request(3000).replace("/look/7", &format!("/look/{form}")));
@@ -224,9 +229,9 @@
         } else if head.contains("/malformed") {
             "Transfer-Encoding: chunked\r\n\r\n180000\r\n".to_owned()
         } else {
-            format!("Content-Length: {LONG}\r\n\r\n")
+            format!("Content-Length: {LONG_BODY_BYTES}\r\n\r\n")
         };
-        let half = pattern(LONG / 2);
+        let half = pattern(LONG_BODY_BYTES / 2);
         let _ = writer.write_all(format!("HTTP/1.1 200 OK\r\n{form}").as_bytes());
         let _ = writer.write_all(&half);
         if head.contains("/malformed") {
@@ -295,12 +300,12 @@
         raw_upstream(move |reader, writer| reject(reader, writer))
     });
     let (proxy, _discovery) = proxy_for(&upstreams);
-    let long = String::from_utf8(vec![b'x'; LONG]).expect("stderr is not UTF-8");
+    let long = String::from_utf8(vec![b'x'; LONG_BODY_BYTES]).expect("stderr is not UTF-8");
     assert_eq!(proxy.client().round_trip(&post("pay", 3000, "", &long)).status(), 503);
     assert!(bodies.recv_timeout(TEST_TIMEOUT).expect("no attempt arrived"));
     assert!(bodies.try_recv().is_err(), "a second attempt");
     // Short bodies stay buffered, so they are retried.
-    assert_eq!(proxy.client().round_trip(&post("keep", 3000, KEY, "short")).status(), 503);
+    assert_eq!(proxy.client().round_trip(&post("keep", 3000, IDEMPOTENCY_KEY_HEADER, "short")).status(), 503);
     for _ in 0..2 {
         assert!(bodies.recv_timeout(TEST_TIMEOUT).expect("no attempt arrived"));
     }
@@ -320,7 +325,7 @@
                 .expect("no request arrived")
                 .expect("the body is incomplete")
                 .len(),
-            LONG
+            LONG_BODY_BYTES
         );
     }
 }
@@ -362,12 +367,13 @@
 /// buffered them without limit.
 #[test]
 fn slow_readers_do_not_exhaust_memory() {
-    const EACH: usize = 24 << 20;
+    const BODY_BYTES: usize = 24 << 20;
     let upstream = raw_upstream(|reader, writer| {
         let piece = vec![b'x'; 1 << 20];
         while read_head(reader).is_some() {
-            let _ = writer.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {EACH}\r\n\r\n").as_bytes());
-            for _ in 0..EACH / piece.len() {
+            let _ = writer
+                .write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_BYTES}\r\n\r\n").as_bytes());
+            for _ in 0..BODY_BYTES / piece.len() {
                 if writer.write_all(&piece).is_err() {
                     return;
                 }
@@ -387,7 +393,7 @@
         .collect();
     // Reads in turn, so that all responses make progress.
     let mut buffer = vec![0; 1 << 20];
-    let mut unread = vec![EACH; readers.len()];
+    let mut unread = vec![BODY_BYTES; readers.len()];
     while unread.iter().any(|unread| *unread > 0) {
         for (reader, unread) in readers.iter_mut().zip(&mut unread).filter(|(_, unread)| **unread > 0) {
             let length = buffer.len().min(*unread);
--- a/client-proxy/tests/clients.rs
+++ b/client-proxy/tests/clients.rs
@@ -7,7 +7,7 @@
 use common::*;
 use serde_json::json;
 
-const KEY: &str = "Idempotency-Key: 5c0f\r\n";
+const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key: 5c0f\r\n";
 
 fn upstream() -> Upstream {
     Upstream::start(|_| Reply::Send(http_response("200 OK", "", "fine")))
@@ -46,10 +46,18 @@
         ("time is days", good.replace("Ms: 3000", "Ms: 400000000"), 400),
         ("keyed without a key", post("keep", 3000, "", ""), 400),
         ("unsafe as GET", good.replace("X-Lane: look", "X-Lane: pay"), 400),
-        ("keyed by another method", post("keep", 3000, KEY, "").replacen("POST", "PUT", 1), 405),
+        (
+            "keyed by another method",
+            post("keep", 3000, IDEMPOTENCY_KEY_HEADER, "").replacen("POST", "PUT", 1),
+            405,
+        ),
         ("unsafe by another method", post("pay", 3000, "", "").replacen("POST", "DELETE", 1), 400),
-        ("unsafe with a key", post("pay", 3000, KEY, ""), 405),
-        ("two keys", post("keep", 3000, &format!("{KEY}{KEY}"), ""), 405),
+        ("unsafe with a key", post("pay", 3000, IDEMPOTENCY_KEY_HEADER, ""), 405),
+        (
+            "two keys",
+            post("keep", 3000, &format!("{IDEMPOTENCY_KEY_HEADER}{IDEMPOTENCY_KEY_HEADER}"), ""),
+            405,
+        ),
         ("two ids", good.replace("X-Txn: t1\r\n", "X-Txn: t1\r\nX-Txn: t9\r\n"), 400),
         ("two classes", good.replace("X-Lane: look\r\n", "X-Lane: look\r\nX-Lane: pay\r\n"), 400),
         ("path of another class", good.replace("GET /look", "GET /pay"), 400),
@@ -105,7 +113,8 @@
     for status in [400, 405] {
         let bad = match status {
             400 => look_request(3000).replace("X-Lane: look\r\n", ""),
-            _ => post("pay", 3000, KEY, "").replace("Content-Length: 0", "Content-Length: 70000"),
+            _ => post("pay", 3000, IDEMPOTENCY_KEY_HEADER, "")
+                .replace("Content-Length: 0", "Content-Length: 70000"),
         };
         let mut client = proxy.client();
         client.write(&(bad + &look_request(3000)));
@@ -166,8 +175,8 @@
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::start(&config);
     discovery_server.wait_until_list_received();
-    let mut crowd: Vec<Client> = (0..80).map(|_| proxy.client()).collect();
-    assert_eq!(crowd[0].round_trip(&look_request(3000)).status(), 200);
-    crowd.truncate(1);
+    let mut clients: Vec<Client> = (0..80).map(|_| proxy.client()).collect();
+    assert_eq!(clients[0].round_trip(&look_request(3000)).status(), 200);
+    clients.truncate(1);
     assert_eq!(proxy.client().round_trip(&look_request(3000)).status(), 200);
 }
--- a/client-proxy/tests/common/client.rs
+++ b/client-proxy/tests/common/client.rs
@@ -44,12 +44,12 @@
     /// Closes the connection at once. Dropping the stream may close it late: a program that another test
     /// starts holds copies of all descriptors until it has executed.
     pub fn close(self) {
-        self.stream.shutdown(Shutdown::Both).expect("open");
+        self.stream.shutdown(Shutdown::Both).expect("could not close the connection");
     }
 
     /// Resets the connection at once, as [`Client::close`] closes it.
     pub fn reset(self) {
-        rustix::net::connect_unspec(&self.stream).expect("open");
+        rustix::net::connect_unspec(&self.stream).expect("could not reset the connection");
     }
 }
 
--- a/client-proxy/tests/deadlines.rs
+++ b/client-proxy/tests/deadlines.rs
@@ -77,11 +77,23 @@
 fn invalid_deadline_header_is_rejected() {
     let upstream = Upstream::start(|_| Reply::Send(http_response("200 OK", "", "fine")));
     let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
-    let twice = "3000\r\nX-Remaining-Ms: 3000";
-    let huge = "18446744073709551616";
-    for value in
-        ["", "-5", "+5", "1.5", "1e3", "3 000", "0x10", "3000,3000", "\u{663}", "nan", "600001", huge, twice]
-    {
+    let duplicated = "3000\r\nX-Remaining-Ms: 3000";
+    let overflowing = "18446744073709551616";
+    for value in [
+        "",
+        "-5",
+        "+5",
+        "1.5",
+        "1e3",
+        "3 000",
+        "0x10",
+        "3000,3000",
+        "\u{663}",
+        "nan",
+        "600001",
+        overflowing,
+        duplicated,
+    ] {
         let request = look_request(3000).replace("Ms: 3000", &format!("Ms: {value}"));
         assert_eq!(proxy.client().round_trip(&request).status(), 400, "{value:?}");
     }
--- a/client-proxy/tests/failing_retries.rs
+++ b/client-proxy/tests/failing_retries.rs
@@ -12,7 +12,7 @@
 use common::*;
 use serde_json::{Value, json};
 
-const KEY: &str = "Idempotency-Key: 5c0f\r\n";
+const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key: 5c0f\r\n";
 /// The same as in the settings.
 const MAX_ATTEMPTS: usize = 3;
 /// More than [`MAX_ATTEMPTS`], so that it is the limit that ends a request.
@@ -97,7 +97,7 @@
             let mut client = proxy.client();
             let text = match class {
                 "look" => look_request(600).replace("X-Remaining", "Connection: close\r\nX-Remaining"),
-                "keep" => post("keep", 600, &format!("{KEY}Connection: close\r\n"), ""),
+                "keep" => post("keep", 600, &format!("{IDEMPOTENCY_KEY_HEADER}Connection: close\r\n"), ""),
                 _ => post("pay", 600, "Connection: close\r\n", ""),
             };
             client.write(&text);
--- a/client-proxy/tests/idle_connections.rs
+++ b/client-proxy/tests/idle_connections.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use socket2::SockRef;
 
-const KEY: &str = "Idempotency-Key: 5c0f\r\n";
+const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key: 5c0f\r\n";
 /// Number of idle connections over all endpoints.
 const IDLE_CONNECTIONS: usize = 6;
 /// How long the connections are idle at least before they are used again.
@@ -162,7 +162,7 @@
 fn request(class: &str, id: &str) -> String {
     let text = match class {
         "look" => look_request(3000),
-        "keep" => post("keep", 3000, KEY, ""),
+        "keep" => post("keep", 3000, IDEMPOTENCY_KEY_HEADER, ""),
         _ => post(class, 3000, "", ""),
     };
     text.replace("X-Txn: t1", "X-Txn: t2").replace("X-Txn: t2", &format!("X-Txn: {id}"))
--- a/client-proxy/tests/leaving.rs
+++ b/client-proxy/tests/leaving.rs
@@ -53,7 +53,7 @@
     (upstream, go)
 }
 
-fn fine(_: usize) -> String {
+fn http_ok(_: usize) -> String {
     http_response("200 OK", "", "fine")
 }
 
@@ -62,7 +62,7 @@
 #[test]
 fn disconnect_before_first_upstream_prevents_attempt() {
     for departure in DEPARTURES {
-        let upstream = Upstream::start(|n| Reply::Send(fine(n)));
+        let upstream = Upstream::start(|n| Reply::Send(http_ok(n)));
         let discovery_server = DiscoveryServer::start(json!([]));
         let proxy = Proxy::start(&config(discovery_server.address, settings()));
         discovery_server.wait_until_list_received();
@@ -134,14 +134,14 @@
 /// A client that shuts down its sending side and waits for its response has not disconnected.
 #[test]
 fn half_closed_client_gets_its_response() {
-    let (upstream, go) = gated_upstream(fine);
+    let (upstream, go) = gated_upstream(http_ok);
     let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
     for behind in ["", "GET /look/8 HT"] {
         let mut client = proxy.client();
         client.write(&look_request(15_000));
         upstream.next_request();
         client.write(behind);
-        client.stream.shutdown(Shutdown::Write).expect("open");
+        client.stream.shutdown(Shutdown::Write).expect("could not shut down the sending side");
         wait_until_processed(&proxy);
         go.send(()).expect("the upstream thread has ended");
         assert_eq!(client.read().expect("no response").body, b"fine", "{behind:?}");
@@ -153,19 +153,19 @@
 /// for it any more, and it must get a response before its deadline is over.
 #[test]
 fn half_closed_client_without_endpoint_is_rejected() {
-    let upstream = Upstream::start(|n| Reply::Send(fine(n)));
+    let upstream = Upstream::start(|n| Reply::Send(http_ok(n)));
     let discovery_server = DiscoveryServer::start(json!([]));
     let proxy = Proxy::start(&config(discovery_server.address, settings()));
     discovery_server.wait_until_list_received();
     let mut client = proxy.client();
     client.write(&look_request(600_000));
     wait_until_processed(&proxy);
-    client.stream.shutdown(Shutdown::Write).expect("open");
+    client.stream.shutdown(Shutdown::Write).expect("could not shut down the sending side");
     assert_eq!(client.read().expect("no response").status(), 503);
     // The same result if the end comes together with the request.
     let mut client = proxy.client();
     client.write(&look_request(600_000));
-    client.stream.shutdown(Shutdown::Write).expect("open");
+    client.stream.shutdown(Shutdown::Write).expect("could not shut down the sending side");
     discovery_server.publish(json!([endpoint("h", upstream.address, "SERVING")]), true);
     discovery_server.wait_until_list_received();
     let status = client.read().expect("no response").status();
@@ -198,7 +198,7 @@
                             let last = head.len() - 1;
                             stream.read_exact(&mut head[last..]).expect("no message head");
                         }
-                        stream.write_all(fine(0).as_bytes()).expect("could not write");
+                        stream.write_all(http_ok(0).as_bytes()).expect("could not write");
                     }
                 });
             }
@@ -231,7 +231,7 @@
 #[test]
 fn disconnect_while_process_stopped_prevents_attempt() {
     for departure in DEPARTURES {
-        let upstream = Upstream::start(|n| Reply::Send(fine(n)));
+        let upstream = Upstream::start(|n| Reply::Send(http_ok(n)));
         let (proxy, _discovery) = Proxy::with_upstreams(&[&upstream]);
         let mut client = proxy.client();
         assert_eq!(client.round_trip(&look_request(3000)).status(), 200);
@@ -259,7 +259,7 @@
 #[test]
 fn disconnect_during_memory_wait_prevents_attempt() {
     for departure in DEPARTURES {
-        let upstream = Upstream::start(|n| Reply::Send(fine(n)));
+        let upstream = Upstream::start(|n| Reply::Send(http_ok(n)));
         let (proxy, _discovery) = with_limit("memory_mb", 1, upstream.address);
         // If the client proxy, delayed by a busy machine, gave up the wait, the round shows nothing and is
         // repeated.
@@ -312,7 +312,7 @@
                             let _ = threshold_sender.send(());
                         }
                         if before < BODY_BYTES && received.len() >= BODY_BYTES {
-                            let _ = stream.write_all(fine(0).as_bytes());
+                            let _ = stream.write_all(http_ok(0).as_bytes());
                         }
                     }
                 });
--- a/client-proxy/tests/shutdown_faults.rs
+++ b/client-proxy/tests/shutdown_faults.rs
@@ -102,13 +102,13 @@
 /// unanswered at SIGKILL.
 #[test]
 fn late_requests_are_answered_before_the_kill() {
-    const LATE: usize = 11;
+    const LATE_CLIENTS: usize = 11;
     let (release, gate) = channel::<()>();
     let (gate, count) = (Mutex::new(gate), Arc::new(AtomicUsize::new(0)));
     let counted = Arc::clone(&count);
     // The very first request stalls, and so do those behind the first ones of each connection.
     let upstream = Upstream::start(move |_| match counted.fetch_add(1, Ordering::SeqCst) {
-        1..=LATE => {
+        1..=LATE_CLIENTS => {
             let _ = gate.lock().expect("another thread panicked").recv();
             Reply::Send(http_response("200 OK", "", "done"))
         }
@@ -137,15 +137,15 @@
         client
     };
     let hung = in_flight();
-    let mut answered_late: Vec<Client> = (0..LATE).map(|_| in_flight()).collect();
-    let mut behind_hung: Vec<Client> = (0..LATE).map(|_| in_flight()).collect();
+    let mut answered_late: Vec<Client> = (0..LATE_CLIENTS).map(|_| in_flight()).collect();
+    let mut behind_hung: Vec<Client> = (0..LATE_CLIENTS).map(|_| in_flight()).collect();
     let request = post("pay", DEADLINE_MS, "", "abc");
     let mut halves: Vec<Client> =
-        (0..LATE).map(|n| client_sending(&request[..request.len() - 1 - 10 * n])).collect();
+        (0..LATE_CLIENTS).map(|n| client_sending(&request[..request.len() - 1 - 10 * n])).collect();
     wait_until_processed(&proxy);
     let terminating = TerminatingProxy::start(proxy, hung);
-    let mut forwarded = 1 + 2 * LATE;
-    for n in 0..LATE {
+    let mut forwarded = 1 + 2 * LATE_CLIENTS;
+    for n in 0..LATE_CLIENTS {
         terminating.sleep_until(Duration::from_millis(600 + 10 * n as u64));
         behind_hung[n].write(&post("pay", DEADLINE_MS, "", "ab"));
         halves[n].write(&request[request.len() - 1 - 10 * n..]);
@@ -181,12 +181,15 @@
 fn discovery_outage_leaves_no_request_unanswered() {
     for is_refusing in [true, false] {
         // Stays bound for the whole test, so that its port is given to nobody else.
-        let down = Socket::new(Domain::IPV4, Type::STREAM, None).expect("invalid socket");
-        down.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("could not bind a loopback port");
+        let discovery_socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("invalid socket");
+        discovery_socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .expect("could not bind a loopback port");
         if !is_refusing {
-            down.listen(128).expect("could not listen");
+            discovery_socket.listen(128).expect("could not listen");
         }
-        let address = down.local_addr().expect("no local address").as_socket().expect("invalid address");
+        let address =
+            discovery_socket.local_addr().expect("no local address").as_socket().expect("invalid address");
         let upstream = Upstream::start(|n| match n {
             0 | 1 => Reply::Stall,
             _ => Reply::Send(http_response("200 OK", "", "done")),
@@ -333,7 +336,7 @@
         if is_terminating {
             TerminatingProxy::start(proxy, hung).kill();
         } else {
-            client.stream.shutdown(std::net::Shutdown::Write).expect("open");
+            client.stream.shutdown(std::net::Shutdown::Write).expect("could not shut down the sending side");
         }
         assert_final_responses(&client, 2, &format!("both were sent at once, terminating {is_terminating}"));
     }
--- a/client-proxy/tests/upgrade.rs
+++ b/client-proxy/tests/upgrade.rs
@@ -205,7 +205,7 @@
         (clone_listener(), "1"),
         (clone_listener(), "99"),
         (clone_listener(), "99999999999999"),
-        (File::open("/dev/null").expect("open").into(), "4"),
+        (File::open("/dev/null").expect("could not open /dev/null").into(), "4"),
         (connected.into(), "4"),
         (datagrams.into(), "4"),
         (elsewhere.into(), "4"),
