--- a/client-proxy/src/accept/tests.rs
+++ b/client-proxy/src/accept/tests.rs
@@ -3,45 +3,46 @@
 use tokio::task::yield_now;
 
 use super::*;
-use crate::clients::tests::{READY, front, run, statuses};
+use crate::clients::tests::{READY_REQUEST, context, run, statuses};
 use crate::socket_budget::SocketBudget;
 
-/// Guards against connections lost in the accept queue as the process ends: neither an `accept` that fails
-/// nor a burst that uses up a task's turn is the end of the queue, only an empty queue is.
+/// Connections in the accept queue must not be lost as the process ends. Neither a failing `accept` nor a
+/// burst that uses up the cooperative budget of the task means that the queue is empty.
 #[test]
-fn what_waits_in_the_accept_queue_at_the_end_is_answered() {
-    const WAITING: usize = 300;
+fn accept_queue_is_served_at_shutdown() {
+    const WAITING_CLIENTS: usize = 300;
     run(async {
-        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener =
+            listen("127.0.0.1:0".parse().expect("invalid address")).expect("could not bind a loopback port");
+        let address = listener.local_addr().expect("no local address");
         let waiting = || {
-            let mut client = std::net::TcpStream::connect(address).expect("accepted");
-            client.write_all(READY.as_bytes()).expect("written");
+            let mut client = std::net::TcpStream::connect(address).expect("could not connect");
+            client.write_all(READY_REQUEST.as_bytes()).expect("could not write");
             client
         };
-        let clients: Vec<_> = (0..WAITING).map(|_| waiting()).collect();
-        let front = front();
-        front.shutdown.draining.cancel();
-        serve(listener, front).await;
+        let clients: Vec<_> = (0..WAITING_CLIENTS).map(|_| waiting()).collect();
+        let context = context();
+        context.shutdown.draining.cancel();
+        serve(listener, context).await;
         let answered = clients
             .into_iter()
-            .filter(|client| statuses(client.try_clone().expect("a second handle")) == ["200"]);
-        assert_eq!(answered.count(), WAITING);
+            .filter(|client| statuses(client.try_clone().expect("could not clone the socket")) == ["200"]);
+        assert_eq!(answered.count(), WAITING_CLIENTS);
     });
 }
 
-/// The same with errors of `accept` before, between and behind those that wait.
+/// The same with errors of `accept` before, between and behind the waiting connections.
 #[test]
-fn an_accept_that_fails_at_the_end_does_not_end_the_queue() {
+fn accept_errors_at_shutdown_leave_no_client() {
     use io::ErrorKind::{ConnectionAborted, Interrupted, OutOfMemory, WouldBlock};
     const EMFILE: i32 = 24;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    runtime.expect("a runtime").block_on(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("bound");
+    runtime.expect("could not build the runtime").block_on(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("could not bind a loopback port");
+        let address = listener.local_addr().expect("no local address");
         let clients: Vec<_> =
-            (0..3).map(|_| std::net::TcpStream::connect(address).expect("accepted")).collect();
-        let mut fails = [
+            (0..3).map(|_| std::net::TcpStream::connect(address).expect("could not connect")).collect();
+        let mut results = [
             Some(io::Error::from(ConnectionAborted)),
             None,
             Some(io::Error::from_raw_os_error(EMFILE)),
@@ -51,55 +52,56 @@
             None,
         ]
         .into_iter();
-        let accept = || match fails.next() {
+        let accept = || match results.next() {
             Some(Some(error)) => Err(error),
             Some(None) => accept_now(&listener),
             None => Err(WouldBlock.into()),
         };
-        let taken_in = Cell::new(0);
-        drain_accept_queue(accept, &front(), |_, _| taken_in.set(taken_in.get() + 1)).await;
-        assert_eq!(taken_in.get(), clients.len());
-        // One that fails for good is asked again, not in haste, until the last call.
-        let (front, asked) = (front(), Cell::new(0));
-        let fails_for_good = drain_accept_queue(
+        let accepted = Cell::new(0);
+        drain_accept_queue(accept, &context(), |_, _| accepted.set(accepted.get() + 1)).await;
+        assert_eq!(accepted.get(), clients.len());
+        // An `accept` that always fails is retried with a backoff until SIGKILL is imminent.
+        let (context, calls) = (context(), Cell::new(0));
+        let failing = drain_accept_queue(
             || {
-                asked.set(asked.get() + 1);
+                calls.set(calls.get() + 1);
                 Err(io::Error::from_raw_os_error(EMFILE))
             },
-            &front,
+            &context,
             |_, _| {},
         );
         let kill_imminent = async {
             sleep(Duration::from_secs(1)).await;
-            front.shutdown.kill_imminent.cancel();
+            context.shutdown.kill_imminent.cancel();
         };
-        tokio::join!(fails_for_good, kill_imminent);
-        assert!((40..80).contains(&asked.get()), "{} times", asked.get());
+        tokio::join!(failing, kill_imminent);
+        assert!((40..80).contains(&calls.get()), "{} calls", calls.get());
     });
 }
 
-/// Guards against connections shut unread because there is no place for them at the moment: as others end,
-/// they are taken in.
+/// Connections must not be closed unread only because no socket is free at the moment: they are accepted as
+/// others end.
 #[test]
-fn the_accept_queue_waits_for_a_place_at_the_end() {
+fn accept_queue_waits_for_socket_at_shutdown() {
     run(async {
-        let mut front = Rc::into_inner(front()).expect("the only one");
-        front.sockets = SocketBudget::new(0, 0);
-        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let mut held = Vec::new();
-        while let Some(slot) = front.sockets.try_acquire(Side::Client) {
-            held.push(slot);
+        let mut context = Rc::into_inner(context()).expect("the context is shared");
+        context.sockets = SocketBudget::new(0, 0);
+        let listener =
+            listen("127.0.0.1:0".parse().expect("invalid address")).expect("could not bind a loopback port");
+        let address = listener.local_addr().expect("no local address");
+        let mut permits = Vec::new();
+        while let Some(slot) = context.sockets.try_acquire(Side::Client) {
+            permits.push(slot);
         }
-        let mut client = std::net::TcpStream::connect(address).expect("accepted");
-        client.write_all(READY.as_bytes()).expect("written");
-        front.shutdown.draining.cancel();
-        let serving = tokio::task::spawn_local(serve(listener, Rc::new(front)));
+        let mut client = std::net::TcpStream::connect(address).expect("could not connect");
+        client.write_all(READY_REQUEST.as_bytes()).expect("could not write");
+        context.shutdown.draining.cancel();
+        let serving = tokio::task::spawn_local(serve(listener, Rc::new(context)));
         for _ in 0..10 {
             yield_now().await;
         }
-        drop(held);
-        serving.await.expect("no panic");
+        drop(permits);
+        serving.await.expect("another task or thread panicked");
         assert_eq!(statuses(client), ["200"]);
     });
 }
--- a/client-proxy/src/admin/tests.rs
+++ b/client-proxy/src/admin/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn calls_are_read_and_all_else_is_told_what_is_wrong() {
+fn valid_commands_are_parsed_and_others_rejected() {
     assert_eq!(parse_command(b"PING"), Ok(Command::Ping));
     assert_eq!(parse_command(b" INFO \r"), Ok(Command::Info));
     assert_eq!(parse_command(b"DETACH s-1"), Ok(Command::Detach("s-1")));
--- a/client-proxy/src/clients/connection_state/tests.rs
+++ b/client-proxy/src/clients/connection_state/tests.rs
@@ -1,20 +1,21 @@
 use std::io::Write;
 
 use super::*;
-use crate::clients::tests::joined;
+use crate::clients::tests::connected_client;
 use crate::monitored_stream::Io;
 
-pub(crate) async fn door() -> (Rc<ConnectionState>, std::net::TcpStream) {
-    let (stream, client) = joined(64 * 1024).await;
-    let (opened, idle, busy, long) = (Instant::now(), Cell::default(), Cell::default(), Cell::default());
+pub(crate) async fn connection_state() -> (Rc<ConnectionState>, std::net::TcpStream) {
+    let (stream, client) = connected_client(64 * 1024).await;
+    let (opened_at, idle_since, active_requests, is_streaming) =
+        (Instant::now(), Cell::default(), Cell::default(), Cell::default());
     let (request_end, close_responses) = (RefCell::default(), Cell::default());
     (
         Rc::new(ConnectionState {
             stream,
-            opened_at: opened,
-            active_requests: busy,
-            idle_since: idle,
-            is_streaming: long,
+            opened_at,
+            active_requests,
+            idle_since,
+            is_streaming,
             request_end,
             close_responses,
         }),
@@ -22,53 +23,55 @@
     )
 }
 
-/// Guards against a close that reaches a client before it has read the answer, and against one in the middle
-/// of a head that began late: neither is idle.
+/// A connection must not be closed before its client has read the response, nor in the middle of a head
+/// that began late: neither is idle.
 #[test]
-fn only_a_connection_that_is_idle_is_closed_soon() {
+fn only_idle_connections_are_closed_soon() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    runtime.expect("a runtime").block_on(async {
-        let (door, mut client) = door().await;
-        let left = || door.head_deadline().saturating_duration_since(Instant::now());
-        assert_eq!(left(), HEAD_TIMEOUT);
-        let busy = door.begin_request();
+    runtime.expect("could not build the runtime").block_on(async {
+        let (connection_state, mut client) = connection_state().await;
+        let remaining = || connection_state.head_deadline().saturating_duration_since(Instant::now());
+        assert_eq!(remaining(), HEAD_TIMEOUT);
+        let active_request = connection_state.begin_request();
         tokio::time::advance(FIRST_REQUEST_TIMEOUT).await;
-        assert_eq!(left(), HEAD_TIMEOUT, "as long as it is answered");
-        drop(busy);
-        assert_eq!(left(), HEAD_TIMEOUT);
-        door.is_streaming.set(true);
-        assert_eq!(left(), STREAM_STALL_TIMEOUT);
-        assert!(door.is_in_use(), "a long answer may still be read");
-        door.is_streaming.set(false);
-        assert!(!door.is_in_use());
-        // A head begins when the time is nearly over.
+        assert_eq!(remaining(), HEAD_TIMEOUT, "as long as its request is in progress");
+        drop(active_request);
+        assert_eq!(remaining(), HEAD_TIMEOUT);
+        connection_state.is_streaming.set(true);
+        assert_eq!(remaining(), STREAM_STALL_TIMEOUT);
+        assert!(connection_state.is_in_use(), "a streamed response may still be read");
+        connection_state.is_streaming.set(false);
+        assert!(!connection_state.is_in_use());
+        // A head begins just before the timeout.
         tokio::time::advance(HEAD_TIMEOUT - Duration::from_millis(1)).await;
-        std::io::Write::write_all(&mut client, b"P").expect("written");
-        tokio::io::AsyncReadExt::read_u8(&mut Io(Rc::clone(&door.stream))).await.expect("a byte");
-        assert_eq!(left(), HEAD_TIMEOUT);
-        assert!(door.is_in_use());
+        std::io::Write::write_all(&mut client, b"P").expect("could not write");
+        tokio::io::AsyncReadExt::read_u8(&mut Io(Rc::clone(&connection_state.stream)))
+            .await
+            .expect("no byte to read");
+        assert_eq!(remaining(), HEAD_TIMEOUT);
+        assert!(connection_state.is_in_use());
     });
 }
 
-/// Prevents a request that is sent the moment its client has the answer before it from losing the time that
-/// answer took.
+/// A request that its client sends right after the response before it must not lose the time that this
+/// response took.
 #[test]
-fn what_comes_behind_an_answer_has_not_waited_for_it() {
-    const TOOK: Duration = Duration::from_secs(1);
+fn request_behind_a_response_has_not_waited() {
+    const RESPONSE_TIME: Duration = Duration::from_secs(1);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    runtime.expect("a runtime").block_on(async {
-        let (door, mut client) = door().await;
-        let mut io = Io(Rc::clone(&door.stream));
-        client.write_all(b"P").expect("written");
-        tokio::io::AsyncReadExt::read_u8(&mut io).await.expect("a byte");
-        assert_eq!(door.stream.read_ahead_for_end(), None);
-        let busy = door.begin_request();
-        tokio::time::advance(TOOK).await;
-        drop(busy);
-        let answered = Instant::now();
-        client.write_all(b"P").expect("written");
-        tokio::time::advance(TOOK).await;
-        tokio::io::AsyncReadExt::read_u8(&mut io).await.expect("a byte");
-        assert!(door.stream.last_read_sent_after() >= answered);
+    runtime.expect("could not build the runtime").block_on(async {
+        let (connection_state, mut client) = connection_state().await;
+        let mut io = Io(Rc::clone(&connection_state.stream));
+        client.write_all(b"P").expect("could not write");
+        tokio::io::AsyncReadExt::read_u8(&mut io).await.expect("no byte to read");
+        assert_eq!(connection_state.stream.read_ahead_for_end(), None);
+        let active_request = connection_state.begin_request();
+        tokio::time::advance(RESPONSE_TIME).await;
+        drop(active_request);
+        let answered_at = Instant::now();
+        client.write_all(b"P").expect("could not write");
+        tokio::time::advance(RESPONSE_TIME).await;
+        tokio::io::AsyncReadExt::read_u8(&mut io).await.expect("no byte to read");
+        assert!(connection_state.stream.last_read_sent_after() >= answered_at);
     });
 }
--- a/client-proxy/src/clients/tests.rs
+++ b/client-proxy/src/clients/tests.rs
@@ -13,26 +13,26 @@
 
 pub(crate) fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), test);
+    tokio::task::LocalSet::new().block_on(&runtime.expect("could not build the runtime"), test);
 }
 
-/// Both ends of a connection, whose client keeps so many bytes of answers that it has not read.
-pub(crate) async fn joined(unread: usize) -> (Rc<MonitoredStream>, std::net::TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let client = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    client.set_recv_buffer_size(unread).expect("a buffer");
-    client.connect(&listener.local_addr().expect("bound").into()).expect("accepted");
-    let (stream, _) = listener.accept().await.expect("a connection");
-    let slot = SocketBudget::new(1024, 0).try_acquire(Side::Client).expect("a place");
-    (MonitoredStream::new(stream, slot), client.into())
+/// Both ends of a client connection. The client buffers so many bytes of responses that it has not read.
+pub(crate) async fn connected_client(unread: usize) -> (Rc<MonitoredStream>, std::net::TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("could not bind a loopback port");
+    let client = Socket::new(Domain::IPV4, Type::STREAM, None).expect("invalid socket");
+    client.set_recv_buffer_size(unread).expect("could not set the buffer size");
+    client.connect(&listener.local_addr().expect("no local address").into()).expect("could not connect");
+    let (stream, _) = listener.accept().await.expect("accept failed");
+    let permit = SocketBudget::new(1024, 0).try_acquire(Side::Client).expect("no socket permit");
+    (MonitoredStream::new(stream, permit), client.into())
 }
 
-pub(crate) const READY: &str = "GET /ready HTTP/1.1\r\nHost: p\r\n\r\n";
+pub(crate) const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\nHost: p\r\n\r\n";
 
-/// What connections share where nothing is sent on.
-pub(crate) fn front() -> Rc<ClientContext> {
-    let (sockets, room) = (SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)));
-    let endpoints = EndpointPool::new(Rc::clone(&sockets), Rc::clone(&room), 1000.0, 100.0);
+/// The context of client connections where nothing is forwarded.
+pub(crate) fn context() -> Rc<ClientContext> {
+    let (sockets, memory) = (SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)));
+    let endpoints = EndpointPool::new(Rc::clone(&sockets), Rc::clone(&memory), 1000.0, 100.0);
     let (ready, shutdown) = (watch::channel(true).1, Shutdown::default());
     let names = Names { classes: vec!["look".to_owned()], ..Names::default() };
     let (driver, settings) = (driver(), settings());
@@ -42,21 +42,22 @@
         names,
         ready,
         sockets,
-        request_memory: room,
+        request_memory: memory,
         endpoints,
         listener_shared: false,
         shutdown,
     })
 }
 
-/// Polls the connection until one more answer has been written and it is idle again, or has ended.
-async fn until_answered(mut connection: Pin<&mut impl Future>, stream: &MonitoredStream) {
+/// Polls the connection until one more response has been written and it is idle again, or until it has
+/// ended.
+async fn poll_until_answered(mut connection: Pin<&mut impl Future>, stream: &MonitoredStream) {
     let before = stream.written();
     let answered = async {
         while stream.written() == before {
             yield_now().await;
         }
-        // The connection has asked for more and was told that there is nothing.
+        // The connection has tried to read and found nothing.
         for _ in 0..100 {
             yield_now().await;
         }
@@ -67,319 +68,357 @@
     }
 }
 
-/// Guards against a close over a request that the system has taken in but that no task was told of.
+/// The system has received a request, but no task was notified of it when the idle connection is closed.
+/// The request must still be answered.
 #[test]
-fn what_has_come_unnoticed_when_a_resting_connection_is_closed_is_answered() {
+fn unnoticed_request_at_idle_close_is_answered() {
     run(async {
-        let (stream, mut client) = joined(64 * 1024).await;
-        let front = front();
-        let mut served = Box::pin(connection(Rc::clone(&stream), Rc::clone(&front), Instant::now()));
-        client.write_all(READY.as_bytes()).expect("written");
-        until_answered(served.as_mut(), &stream).await;
-        // From here on the runtime is not asked for news of any socket until the connection has been told to
-        // end.
-        client.write_all(READY.as_bytes()).expect("written");
+        let (stream, mut client) = connected_client(64 * 1024).await;
+        let context = context();
+        let mut serving = Box::pin(connection(Rc::clone(&stream), Rc::clone(&context), Instant::now()));
+        client.write_all(READY_REQUEST.as_bytes()).expect("could not write");
+        poll_until_answered(serving.as_mut(), &stream).await;
+        // From here on the runtime does not poll any socket until the connection has been told to close.
+        client.write_all(READY_REQUEST.as_bytes()).expect("could not write");
         while stream.is_quiet() {
             std::thread::yield_now();
         }
-        front.shutdown.draining.cancel();
-        until_answered(served.as_mut(), &stream).await;
-        drop(served);
+        context.shutdown.draining.cancel();
+        poll_until_answered(serving.as_mut(), &stream).await;
+        drop(serving);
         drop(stream);
-        let mut seen = String::new();
-        client.read_to_string(&mut seen).expect("answers and an end");
-        assert_eq!(seen.matches("HTTP/1.1 200 ").count(), 2, "{seen:?}");
+        let mut received = String::new();
+        client.read_to_string(&mut received).expect("the connection was reset");
+        assert_eq!(received.matches("HTTP/1.1 200 ").count(), 2, "{received:?}");
     });
 }
 
 /// The same where the idle timeout closes the connection.
 #[test]
-fn what_has_come_unnoticed_when_the_idle_timeout_is_over_is_answered() {
+fn unnoticed_request_at_idle_timeout_is_answered() {
     run(async {
-        let (stream, mut client) = joined(64 * 1024).await;
-        let mut served = Box::pin(connection(Rc::clone(&stream), front(), Instant::now()));
-        client.write_all(READY.as_bytes()).expect("written");
-        until_answered(served.as_mut(), &stream).await;
+        let (stream, mut client) = connected_client(64 * 1024).await;
+        let mut serving = Box::pin(connection(Rc::clone(&stream), context(), Instant::now()));
+        client.write_all(READY_REQUEST.as_bytes()).expect("could not write");
+        poll_until_answered(serving.as_mut(), &stream).await;
         tokio::time::pause();
         tokio::time::advance(HEAD_TIMEOUT + Duration::from_millis(10)).await;
-        // From here on the runtime is not asked for news of any socket until the connection is looked at.
-        client.write_all(READY.as_bytes()).expect("written");
+        // From here on the runtime does not poll any socket until the connection is polled.
+        client.write_all(READY_REQUEST.as_bytes()).expect("could not write");
         while stream.is_quiet() {
             std::thread::yield_now();
         }
-        until_answered(served.as_mut(), &stream).await;
-        drop((served, stream));
+        poll_until_answered(serving.as_mut(), &stream).await;
+        drop((serving, stream));
         assert_eq!(statuses(client), ["200", "200"]);
     });
 }
 
-/// Guards against requests of a pipeline that an upgrade loses: the answer to the first asks the client to
-/// come back on a new connection, and the rest, part of a request too, has been read together with that first
-/// one.
+/// During an upgrade the response to the first request of a pipeline has `Connection: close`. The rest,
+/// including a partial request, was read together with the first one. It must be answered, or the upgrade
+/// would lose these requests.
 #[test]
-fn what_was_read_behind_an_answer_that_sends_its_client_away_is_answered() {
+fn pipeline_behind_connection_close_is_answered() {
     run(async {
-        let mut front = Rc::into_inner(front()).expect("the only one");
-        front.listener_shared = true;
-        front.shutdown.terminating.cancel();
-        let (stream, mut client) = joined(64 * 1024).await;
+        let mut context = Rc::into_inner(context()).expect("the context is shared");
+        context.listener_shared = true;
+        context.shutdown.terminating.cancel();
+        let (stream, mut client) = connected_client(64 * 1024).await;
         let look = "GET /look HTTP/1.1\r\nHost: p\r\nX-Txn: 1\r\nX-Lane: look\r\nX-Remaining-Ms: 3000\r\n";
         let body = "Content-Length: 3\r\n\r\nabc";
-        let pipeline = format!("{READY}{look}\r\n{look}{body}{READY}GET /re");
-        client.write_all(pipeline.as_bytes()).expect("written");
-        SockRef::from(&client).shutdown(std::net::Shutdown::Write).expect("connected");
-        connection(stream, Rc::new(front), Instant::now()).await;
-        // What stands behind an answer that says `close` is never forwarded: its client may send it
-        // elsewhere.
+        let pipeline = format!("{READY_REQUEST}{look}\r\n{look}{body}{READY_REQUEST}GET /re");
+        client.write_all(pipeline.as_bytes()).expect("could not write");
+        SockRef::from(&client)
+            .shutdown(std::net::Shutdown::Write)
+            .expect("could not shut down the sending side");
+        connection(stream, Rc::new(context), Instant::now()).await;
+        // A request behind a response with `Connection: close` is never forwarded: its client may send it
+        // again elsewhere.
         assert_eq!(statuses(client)[..4], ["200", "503", "503", "200"]);
     });
 }
 
-/// What connections share in a process that another one takes over from, on a socket that both accept from.
-fn front_in_upgrade() -> Rc<ClientContext> {
-    let mut front = Rc::into_inner(front()).expect("the only one");
-    front.listener_shared = true;
-    front.shutdown.terminating.cancel();
-    Rc::new(front)
+/// The context of client connections in a process that is being replaced, on a listening socket that both
+/// processes accept from.
+fn context_in_upgrade() -> Rc<ClientContext> {
+    let mut context = Rc::into_inner(context()).expect("the context is shared");
+    context.listener_shared = true;
+    context.shutdown.terminating.cancel();
+    Rc::new(context)
 }
 
-/// A whole request with a body of `length` bytes that could be requests themselves, in chunks or not.
-fn with_body(open: &str, length: usize, chunked: bool) -> String {
-    let body = READY.repeat(length / READY.len());
+/// A complete request with a body of `length` bytes that could be requests themselves, chunked or not.
+fn with_body(head_start: &str, length: usize, chunked: bool) -> String {
+    let body = READY_REQUEST.repeat(length / READY_REQUEST.len());
     if !chunked {
-        return format!("{open}Content-Length: {}\r\n\r\n{body}", body.len());
+        return format!("{head_start}Content-Length: {}\r\n\r\n{body}", body.len());
     }
-    let chunk = format!("{:x}\r\n{READY}\r\n", READY.len());
-    format!("{open}Transfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n", chunk.repeat(length / READY.len()))
+    let chunk = format!("{:x}\r\n{READY_REQUEST}\r\n", READY_REQUEST.len());
+    format!(
+        "{head_start}Transfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n",
+        chunk.repeat(length / READY_REQUEST.len())
+    )
 }
 
-const LOOK_OPEN: &str =
+const LOOK_HEAD_START: &str =
     "GET /look HTTP/1.1\r\nHost: p\r\nX-Txn: 1\r\nX-Lane: look\r\nX-Remaining-Ms: 3000\r\n";
-pub(crate) const READY_OPEN: &str = "GET /ready HTTP/1.1\r\nHost: p\r\n";
+pub(crate) const READY_HEAD_START: &str = "GET /ready HTTP/1.1\r\nHost: p\r\n";
 
-/// The same where the answer did not wait for the body of its request: no request behind that body is lost.
+/// The same where the response was sent before the body of its request had been read: no request behind
+/// that body may be lost.
 #[test]
-fn what_was_read_behind_a_body_that_no_answer_waited_for_is_answered() {
+fn pipeline_behind_unread_body_is_answered() {
     run(async {
         for (length, chunked) in [(3_000, false), (3_000, true), (200_000, false), (200_000, true)] {
             let cases = [
-                ("never read", with_body(READY_OPEN, length, chunked), "200"),
-                ("rejected", format!("{READY}{}", with_body(LOOK_OPEN, length, chunked)), "503"),
-                ("forwarded", with_body(LOOK_OPEN, length, chunked), "503"),
+                ("never read", with_body(READY_HEAD_START, length, chunked), "200"),
+                (
+                    "rejected",
+                    format!("{READY_REQUEST}{}", with_body(LOOK_HEAD_START, length, chunked)),
+                    "503",
+                ),
+                ("forwarded", with_body(LOOK_HEAD_START, length, chunked), "503"),
             ];
-            for (what, first, status) in cases {
-                let what = format!("{what}, {length} bytes, chunked: {chunked}");
-                let (stream, client) = joined(64 * 1024).await;
-                let mut writer = client.try_clone().expect("a second handle");
-                let pipeline = format!("{first}{LOOK_OPEN}\r\n{READY}");
+            for (case, first, status) in cases {
+                let context = format!("{case}, {length} bytes, chunked: {chunked}");
+                let (stream, client) = connected_client(64 * 1024).await;
+                let mut writer = client.try_clone().expect("could not clone the socket");
+                let pipeline = format!("{first}{LOOK_HEAD_START}\r\n{READY_REQUEST}");
                 let writing = std::thread::spawn(move || {
-                    writer.write_all(pipeline.as_bytes()).expect("written");
-                    SockRef::from(&writer).shutdown(std::net::Shutdown::Write).expect("connected");
+                    writer.write_all(pipeline.as_bytes()).expect("could not write");
+                    SockRef::from(&writer)
+                        .shutdown(std::net::Shutdown::Write)
+                        .expect("could not shut down the sending side");
                 });
-                connection(stream, front_in_upgrade(), Instant::now()).await;
-                writing.join().expect("no panic");
-                let seen = statuses(client);
-                assert!(seen.ends_with(&[status, "503", "200"].map(str::to_owned)), "{what}: {seen:?}");
-                assert_eq!(seen.len(), 3 + usize::from(what.starts_with("rejected")), "{what}: {seen:?}");
+                connection(stream, context_in_upgrade(), Instant::now()).await;
+                writing.join().expect("another task or thread panicked");
+                let received = statuses(client);
+                assert!(
+                    received.ends_with(&[status, "503", "200"].map(str::to_owned)),
+                    "{context}: {received:?}"
+                );
+                assert_eq!(
+                    received.len(),
+                    3 + usize::from(context.starts_with("rejected")),
+                    "{context}: {received:?}"
+                );
             }
         }
     });
 }
 
-/// Prevents a close in the middle of such a body, which is read to its end as it comes.
+/// The connection must not be closed as idle in the middle of such a body, which is still read to its end.
 #[test]
-fn a_body_that_no_answer_waited_for_may_still_come_when_idle_connections_are_closed() {
+fn unread_body_may_arrive_after_idle_close() {
     run(async {
         tokio::time::pause();
-        let (stream, mut client) = joined(64 * 1024).await;
-        let front = front_in_upgrade();
-        front.shutdown.draining.cancel();
-        let pipeline = format!("{}{LOOK_OPEN}\r\n{READY}", with_body(READY_OPEN, 3_000, false));
+        let (stream, mut client) = connected_client(64 * 1024).await;
+        let context = context_in_upgrade();
+        context.shutdown.draining.cancel();
+        let pipeline =
+            format!("{}{LOOK_HEAD_START}\r\n{READY_REQUEST}", with_body(READY_HEAD_START, 3_000, false));
         let (part, rest) = pipeline.split_at(1_000);
-        let mut served = Box::pin(connection(Rc::clone(&stream), front, Instant::now()));
-        client.write_all(part.as_bytes()).expect("written");
-        until_answered(served.as_mut(), &stream).await;
-        client.write_all(rest.as_bytes()).expect("written");
-        SockRef::from(&client).shutdown(std::net::Shutdown::Write).expect("connected");
-        served.await;
+        let mut serving = Box::pin(connection(Rc::clone(&stream), context, Instant::now()));
+        client.write_all(part.as_bytes()).expect("could not write");
+        poll_until_answered(serving.as_mut(), &stream).await;
+        client.write_all(rest.as_bytes()).expect("could not write");
+        SockRef::from(&client)
+            .shutdown(std::net::Shutdown::Write)
+            .expect("could not shut down the sending side");
+        serving.await;
         drop(stream);
         assert_eq!(statuses(client), ["200", "503", "200"]);
     });
 }
 
-/// Prevents bytes of a body that was not read to its end from being taken for a request as its connection is
+/// Bytes of a body that was not read to its end must not be taken for a request when the connection is
 /// closed.
 #[test]
-fn what_is_left_of_a_body_at_the_last_call_is_never_taken_for_a_request() {
+fn unread_body_at_shutdown_is_no_request() {
     run(async {
         for chunked in [true, false] {
-            for front in [front(), front_in_upgrade()] {
-                let (stream, mut client) = joined(64 * 1024).await;
-                client.write_all(with_body(READY_OPEN, 3_000, chunked).as_bytes()).expect("written");
+            for context in [context(), context_in_upgrade()] {
+                let (stream, mut client) = connected_client(64 * 1024).await;
+                client
+                    .write_all(with_body(READY_HEAD_START, 3_000, chunked).as_bytes())
+                    .expect("could not write");
                 while stream.is_quiet() {
                     std::thread::yield_now();
                 }
-                // Read ahead, so that it counts as read when the last call comes.
+                // Read ahead, so that it counts as read when SIGKILL is imminent.
                 assert_eq!(stream.query_hang_up(), None);
-                front.shutdown.draining.cancel();
-                front.shutdown.kill_imminent.cancel();
-                connection(stream, front, Instant::now()).await;
+                context.shutdown.draining.cancel();
+                context.shutdown.kill_imminent.cancel();
+                connection(stream, context, Instant::now()).await;
                 assert_eq!(statuses(client), ["200"], "chunked: {chunked}");
             }
         }
     });
 }
 
-/// Prevents the same of what stands behind a body that is no body, wherever it breaks.
+/// The same for bytes behind a malformed body, wherever it is malformed.
 #[test]
-fn what_stands_behind_a_broken_body_is_never_taken_for_a_request() {
+fn bytes_behind_malformed_body_are_no_request() {
     run(async {
-        for (open, length) in [(READY_OPEN, 3_000), (READY_OPEN, 200_000), (LOOK_OPEN, 200_000)] {
-            for front in [front(), front_in_upgrade()] {
-                let (stream, client) = joined(64 * 1024).await;
-                let whole = with_body(open, length, true);
-                let broken = format!("{}zz\r\n{}", &whole[..whole.len() - 5], READY.repeat(3));
-                let mut writer = client.try_clone().expect("a second handle");
+        for (open, length) in
+            [(READY_HEAD_START, 3_000), (READY_HEAD_START, 200_000), (LOOK_HEAD_START, 200_000)]
+        {
+            for context in [context(), context_in_upgrade()] {
+                let (stream, client) = connected_client(64 * 1024).await;
+                let request = with_body(open, length, true);
+                let broken = format!("{}zz\r\n{}", &request[..request.len() - 5], READY_REQUEST.repeat(3));
+                let mut writer = client.try_clone().expect("could not clone the socket");
                 let writing = std::thread::spawn(move || {
-                    // Fails where the connection is closed over what nobody reads.
+                    // Fails if the connection is closed over unread bytes.
                     let _ = writer.write_all(broken.as_bytes());
                     let _ = SockRef::from(&writer).shutdown(std::net::Shutdown::Write);
                 });
-                connection(stream, front, Instant::now()).await;
-                writing.join().expect("no panic");
+                connection(stream, context, Instant::now()).await;
+                writing.join().expect("another task or thread panicked");
                 assert_eq!(statuses(client).len(), 1, "{open}, {length} bytes");
             }
         }
     });
 }
 
-/// Prevents the same of a body without an end, which is given up after a while.
+/// The same for a body without an end, which is no longer read after a while.
 #[test]
-fn what_is_left_of_an_endless_body_is_never_taken_for_a_request() {
+fn rest_of_endless_body_is_no_request() {
     run(async {
-        let (stream, client) = joined(64 * 1024).await;
-        let mut writer = client.try_clone().expect("a second handle");
+        let (stream, client) = connected_client(64 * 1024).await;
+        let mut writer = client.try_clone().expect("could not clone the socket");
         std::thread::spawn(move || {
-            let chunks = format!("{:x}\r\n{READY}\r\n", READY.len()).repeat(100);
-            let _ = writer.write_all(format!("{READY_OPEN}Transfer-Encoding: chunked\r\n\r\n").as_bytes());
+            let chunks = format!("{:x}\r\n{READY_REQUEST}\r\n", READY_REQUEST.len()).repeat(100);
+            let _ =
+                writer.write_all(format!("{READY_HEAD_START}Transfer-Encoding: chunked\r\n\r\n").as_bytes());
             while writer.write_all(chunks.as_bytes()).is_ok() {}
         });
         let reading = std::thread::spawn(move || {
-            let (mut client, mut seen) = (client, Vec::new());
-            client.set_read_timeout(Some(Duration::from_secs(20))).expect("a time limit");
-            // The close over what still comes resets the connection.
-            let _ = client.read_to_end(&mut seen);
-            String::from_utf8(seen).expect("text")
+            let (mut client, mut received) = (client, Vec::new());
+            client.set_read_timeout(Some(Duration::from_secs(20))).expect("could not set the read timeout");
+            // The close over unread bytes resets the connection.
+            let _ = client.read_to_end(&mut received);
+            String::from_utf8(received).expect("received text is not UTF-8")
         });
-        connection(stream, front_in_upgrade(), Instant::now()).await;
-        let seen = reading.join().expect("no panic");
-        assert_eq!(seen.matches("HTTP/1.1 ").count(), 1, "{seen}");
-        assert!(seen.starts_with("HTTP/1.1 200 "), "{seen}");
+        connection(stream, context_in_upgrade(), Instant::now()).await;
+        let received = reading.join().expect("another task or thread panicked");
+        assert_eq!(received.matches("HTTP/1.1 ").count(), 1, "{received}");
+        assert!(received.starts_with("HTTP/1.1 200 "), "{received}");
     });
 }
 
-/// Guards against answers that are lost with what their client goes on to send: a close over unread bytes
-/// resets the connection, and what the client has no room for yet goes with it.
+/// A close over unread bytes resets the connection, and with it responses that do not fit into the client's
+/// buffer yet are lost.
 #[test]
-fn a_close_over_what_nobody_reads_takes_no_answer_back() {
+fn close_over_unread_bytes_loses_no_response() {
     run(async {
-        let (stream, mut client) = joined(1).await;
-        SockRef::from(&client).set_send_buffer_size(1 << 20).expect("room for all of it");
+        let (stream, mut client) = connected_client(1).await;
+        SockRef::from(&client).set_send_buffer_size(1 << 20).expect("could not set the buffer size");
         let bad = "GET /nothing HTTP/1.1\r\nHost: p\r\nContent-Length: 60000\r\n\r\n";
-        client.write_all(READY.repeat(100).as_bytes()).expect("written");
-        client.write_all(bad.as_bytes()).expect("written");
-        client.write_all(&[b'x'; 60_000]).expect("written");
-        connection(stream, front(), Instant::now()).await;
-        let mut seen = String::new();
-        client.read_to_string(&mut seen).expect("all answers and an end");
-        assert_eq!(seen.matches("HTTP/1.1 200 ").count(), 100);
-        assert_eq!(seen.matches("HTTP/1.1 400 ").count(), 1);
+        client.write_all(READY_REQUEST.repeat(100).as_bytes()).expect("could not write");
+        client.write_all(bad.as_bytes()).expect("could not write");
+        client.write_all(&[b'x'; 60_000]).expect("could not write");
+        connection(stream, context(), Instant::now()).await;
+        let mut received = String::new();
+        client.read_to_string(&mut received).expect("the connection was reset");
+        assert_eq!(received.matches("HTTP/1.1 200 ").count(), 100);
+        assert_eq!(received.matches("HTTP/1.1 400 ").count(), 1);
     });
 }
 
-/// What has come over `client` until its end, as the statuses of the answers.
+/// Reads `client` to its end and returns the statuses of the responses.
 pub(crate) fn statuses(mut client: std::net::TcpStream) -> Vec<String> {
-    client.set_read_timeout(Some(Duration::from_secs(20))).expect("a time limit");
-    let mut seen = String::new();
-    client.read_to_string(&mut seen).expect("answers and an end");
-    seen.split("HTTP/1.1 ").skip(1).map(|answer| answer[..3].to_owned()).collect()
+    client.set_read_timeout(Some(Duration::from_secs(20))).expect("could not set the read timeout");
+    let mut received = String::new();
+    client.read_to_string(&mut received).expect("the connection was reset");
+    received.split("HTTP/1.1 ").skip(1).map(|response| response[..3].to_owned()).collect()
 }
 
-/// Virtual seconds until a client that stays has its error or close after the last byte of `sent`, and all it
-/// got.
-async fn time_to_end(front: Rc<ClientContext>, sent: &[&[u8]]) -> (Duration, String) {
-    let (stream, client) = joined(64 * 1024).await;
-    client.set_nonblocking(true).expect("a socket");
-    let mut client = tokio::net::TcpStream::from_std(client).expect("in the runtime");
-    let served = tokio::task::spawn_local(connection(stream, front, Instant::now()));
+/// Virtual time from the last byte of `sent` until a client that stays connected gets an error or a close;
+/// also all that it received.
+async fn time_to_end(context: Rc<ClientContext>, sent: &[&[u8]]) -> (Duration, String) {
+    let (stream, client) = connected_client(64 * 1024).await;
+    client.set_nonblocking(true).expect("invalid socket");
+    let mut client = tokio::net::TcpStream::from_std(client).expect("could not register the socket");
+    let serving = tokio::task::spawn_local(connection(stream, context, Instant::now()));
     for part in sent {
-        tokio::io::AsyncWriteExt::write_all(&mut client, part).await.expect("written");
-        // Until all of it has been read and what is whole has been answered.
+        tokio::io::AsyncWriteExt::write_all(&mut client, part).await.expect("could not write");
+        // Until all of it has been read and complete requests have been answered.
         for _ in 0..1000 {
             yield_now().await;
         }
     }
-    let (stopped, mut seen) = (Instant::now(), String::new());
-    tokio::io::AsyncReadExt::read_to_string(&mut client, &mut seen).await.expect("an end, and no reset");
-    let took = stopped.elapsed();
+    let (stalled_at, mut received) = (Instant::now(), String::new());
+    tokio::io::AsyncReadExt::read_to_string(&mut client, &mut received)
+        .await
+        .expect("the connection was reset");
+    let took = stalled_at.elapsed();
     drop(client);
-    served.await.expect("no panic");
-    (took, seen)
+    serving.await.expect("another task or thread panicked");
+    (took, received)
 }
 
-/// Guards against a client that stops in the middle of a request and stays: wherever it stops, and however
-/// much it has sent by then, it has its error or close within the 3 s that such clients are owed.
+/// A client stalls in the middle of a request and stays connected. Wherever it stalls, and however much it
+/// has sent, it must get an error or a close within 3 s.
 #[test]
-fn a_client_that_stops_in_the_middle_of_a_request_has_an_end_in_time() {
-    const OWED: Duration = Duration::from_secs(3);
+fn stalled_request_is_ended_in_time() {
+    const MAX_WAIT: Duration = Duration::from_secs(3);
     let open = "GET /look HTTP/1.1\r\nHost: p\r\nX-Txn: 1\r\nX-Lane: look\r\nX-Remaining-Ms: 3000\r\n";
-    let (much, more) = ("x".repeat(60_000), "x".repeat(200_000));
-    let stops = [
+    let (long_body, longer_body) = ("x".repeat(60_000), "x".repeat(200_000));
+    let stalls = [
         ("in the first line", "GE".to_owned()),
         ("in the head", "GET /look HTTP/1.1\r\nX-La".to_owned()),
         ("before the body", format!("{open}Content-Length: 5\r\n\r\n")),
         ("in the body", format!("{open}Content-Length: 5\r\n\r\nab")),
-        ("late in the body", format!("{open}Content-Length: 60001\r\n\r\n{much}")),
-        ("in a long body", format!("{open}Content-Length: 400000\r\n\r\n{more}")),
+        ("late in the body", format!("{open}Content-Length: 60001\r\n\r\n{long_body}")),
+        ("in a long body", format!("{open}Content-Length: 400000\r\n\r\n{longer_body}")),
         ("in the length of a chunk", format!("{open}Transfer-Encoding: chunked\r\n\r\n3")),
         ("in a chunk", format!("{open}Transfer-Encoding: chunked\r\n\r\n3\r\nab")),
-        ("late in a chunk", format!("{open}Transfer-Encoding: chunked\r\n\r\nea61\r\n{much}")),
-        ("between chunks", format!("{open}Transfer-Encoding: chunked\r\n\r\nea60\r\n{much}\r\n")),
+        ("late in a chunk", format!("{open}Transfer-Encoding: chunked\r\n\r\nea61\r\n{long_body}")),
+        ("between chunks", format!("{open}Transfer-Encoding: chunked\r\n\r\nea60\r\n{long_body}\r\n")),
         ("in the last chunk", format!("{open}Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n")),
     ];
     run(async {
         tokio::time::pause();
-        for (place, half) in stops {
-            let pipelined = format!("{READY}{half}");
+        for (position, half) in stalls {
+            let pipelined = format!("{READY_REQUEST}{half}");
             let first: [(&str, usize, Vec<&[u8]>); 3] = [
                 ("at once", 0, vec![half.as_bytes()]),
-                ("after a good one", 1, vec![READY.as_bytes(), half.as_bytes()]),
+                ("after a good one", 1, vec![READY_REQUEST.as_bytes(), half.as_bytes()]),
                 ("behind a good one", 1, vec![pipelined.as_bytes()]),
             ];
-            for (when, good, sent) in first {
-                let (took, seen) = time_to_end(front(), &sent).await;
-                assert!(took <= OWED, "{place}, {when}: {took:?}");
-                assert_eq!(seen.matches("HTTP/1.1 200 ").count(), good, "{place}, {when}: {seen}");
-                let errors = seen.matches("HTTP/1.1 4").count() + seen.matches("HTTP/1.1 5").count();
-                assert!(errors <= 1, "{place}, {when}: {seen}");
+            for (when, complete_requests, sent) in first {
+                let (took, received) = time_to_end(context(), &sent).await;
+                assert!(took <= MAX_WAIT, "{position}, {when}: {took:?}");
+                assert_eq!(
+                    received.matches("HTTP/1.1 200 ").count(),
+                    complete_requests,
+                    "{position}, {when}: {received}"
+                );
+                let errors = received.matches("HTTP/1.1 4").count() + received.matches("HTTP/1.1 5").count();
+                assert!(errors <= 1, "{position}, {when}: {received}");
             }
         }
     });
 }
 
-/// The same for one that stops in a body which its answer did not wait for, in a process that is being
-/// replaced.
+/// The same for a client that stalls in a body which its response did not wait for, in a process that is
+/// being replaced.
 #[test]
-fn a_client_that_stops_in_a_body_that_no_answer_waited_for_has_an_end_in_time() {
+fn stalled_unread_body_is_ended_in_time() {
     run(async {
         tokio::time::pause();
         for chunked in [false, true] {
-            for open in [READY_OPEN, LOOK_OPEN] {
-                let whole = with_body(open, 200_000, chunked);
-                let part = &whole.as_bytes()[..whole.len() - 10];
-                let (took, seen) = time_to_end(front_in_upgrade(), &[part]).await;
+            for open in [READY_HEAD_START, LOOK_HEAD_START] {
+                let request = with_body(open, 200_000, chunked);
+                let part = &request.as_bytes()[..request.len() - 10];
+                let (took, received) = time_to_end(context_in_upgrade(), &[part]).await;
                 assert!(took <= Duration::from_secs(3), "{open}, chunked: {chunked}: {took:?}");
-                assert_eq!(seen.matches("HTTP/1.1 ").count(), 1, "{open}, chunked: {chunked}: {seen}");
+                assert_eq!(
+                    received.matches("HTTP/1.1 ").count(),
+                    1,
+                    "{open}, chunked: {chunked}: {received}"
+                );
             }
         }
     });
--- a/client-proxy/src/clock/tests.rs
+++ b/client-proxy/src/clock/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// Guards against timers that are all due at once when the program has run for more than a day.
+/// Once the program has run for more than a day, all timers would be due at once.
 #[tokio::test(start_paused = true)]
-async fn a_timer_is_ahead_however_long_the_program_has_run() {
+async fn timers_are_due_later_after_long_uptime() {
     let clock = Clock::new();
     tokio::time::advance(Duration::from_secs(36 * 3600)).await;
     let at = clock.instant(clock.now() + 100.0);
@@ -12,10 +12,10 @@
     assert!(ahead > Duration::from_millis(99) && ahead < Duration::from_millis(101), "{ahead:?}");
 }
 
-/// Guards against a base that another process of the machine does not share, such as the start of the
-/// process.
+/// The base of the clock must be shared by all processes of the machine. The start of the process, for
+/// example, is not.
 #[test]
-fn a_later_clock_of_the_machine_is_not_behind_an_earlier_one() {
+fn clocks_of_one_machine_share_their_base() {
     let early = Clock::new();
     std::thread::sleep(Duration::from_millis(20));
     let before = early.now();
--- a/client-proxy/src/discovery/tests.rs
+++ b/client-proxy/src/discovery/tests.rs
@@ -8,72 +8,80 @@
 use crate::memory_budget::MemoryBudget;
 use crate::socket_budget::SocketBudget;
 
-/// A follower of whatever address the sender names last, in virtual time.
-fn follow(mode: Mode) -> (watch::Sender<std::net::SocketAddr>, mpsc::UnboundedSender<DiscoveryCommand>) {
-    let refused = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let (moves, address) = watch::channel(refused);
-    let (ask, asks) = mpsc::unbounded_channel();
+/// Starts a discovery client in virtual time, at whatever address the sender names last.
+fn start_discovery(
+    mode: Mode,
+) -> (watch::Sender<std::net::SocketAddr>, mpsc::UnboundedSender<DiscoveryCommand>) {
+    let refusing_address = std::net::TcpListener::bind("127.0.0.1:0")
+        .expect("could not bind a loopback port")
+        .local_addr()
+        .expect("no local address");
+    let (addresses_sender, address) = watch::channel(refusing_address);
+    let (command_sender, commands) = mpsc::unbounded_channel();
     let endpoints =
         EndpointPool::new(SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1000.0, 100.0);
-    let whom = SourceSelector::new(address, None, 1);
-    let discovery = Discovery::new(whom, mode, Names::default(), 1, endpoints, driver(), None);
-    spawn_local(discovery.run(None, asks));
-    (moves, ask)
+    let selector = SourceSelector::new(address, None, 1);
+    let discovery = Discovery::new(selector, mode, Names::default(), 1, endpoints, driver(), None);
+    spawn_local(discovery.run(None, commands));
+    (addresses_sender, command_sender)
 }
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), test);
+    LocalSet::new().block_on(&runtime.expect("could not build the runtime"), test);
 }
 
 async fn listen() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").await.expect("a port")
+    TcpListener::bind("127.0.0.1:0").await.expect("could not bind a loopback port")
 }
 
-/// The next connection, and how long it took to come.
-async fn called(listener: &TcpListener) -> (tokio::net::TcpStream, Duration) {
+/// Accepts the next connection with a poll; also returns how long it took to come.
+async fn accept_poll(listener: &TcpListener) -> (tokio::net::TcpStream, Duration) {
     let since = Instant::now();
-    let (mut stream, _) = listener.accept().await.expect("a connection");
-    tokio::io::AsyncReadExt::read_u8(&mut stream).await.expect("a call");
+    let (mut stream, _) = listener.accept().await.expect("accept failed");
+    tokio::io::AsyncReadExt::read_u8(&mut stream).await.expect("no poll");
     (stream, since.elapsed())
 }
 
-/// Waits until the other side has closed.
-async fn ended(mut stream: tokio::net::TcpStream) -> Duration {
+/// Waits until the other side has closed; returns how long it took.
+async fn wait_until_closed(mut stream: tokio::net::TcpStream) -> Duration {
     let since = Instant::now();
-    tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut Vec::new()).await.expect("an end, and no reset");
+    tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut Vec::new())
+        .await
+        .expect("the connection was reset");
     since.elapsed()
 }
 
-/// Guards against a drain that is heard late: whatever a move interrupts, the new address is asked at once,
-/// and no call stays behind at an old one.
+/// Whatever an address change interrupts, the new address is polled at once, and no poll stays open at an
+/// old one. Otherwise a drain would be received late.
 #[test]
-fn a_move_is_followed_at_once_whatever_it_interrupts() {
-    // Timers go by whole milliseconds.
-    const AT_ONCE: Duration = Duration::from_millis(1);
+fn address_change_is_followed_at_once() {
+    // Timers have a resolution of a millisecond.
+    const TIMER_RESOLUTION: Duration = Duration::from_millis(1);
     for mode in [Mode::Push, Mode::Pull] {
         run(async {
-            let (moves, ask) = follow(mode);
-            ask.send(DiscoveryCommand::Watch).expect("followed");
-            // Calls have been refused until the pauses are as long as they get.
+            let (addresses_sender, command_sender) = start_discovery(mode);
+            command_sender.send(DiscoveryCommand::Watch).expect("discovery has ended");
+            // Polls have been refused until the backoff is at its maximum.
             sleep(Duration::from_secs(5)).await;
             let listeners = [listen().await, listen().await, listen().await, listen().await];
-            let addresses = listeners.each_ref().map(|listener| listener.local_addr().expect("bound"));
-            moves.send_replace(addresses[0]);
-            let (first, took) = called(&listeners[0]).await;
-            assert!(took <= AT_ONCE, "in the pause after a failed call: {took:?}");
-            // In the middle of a call; and three in a row, of which the last one holds.
+            let addresses =
+                listeners.each_ref().map(|listener| listener.local_addr().expect("no local address"));
+            addresses_sender.send_replace(addresses[0]);
+            let (first, took) = accept_poll(&listeners[0]).await;
+            assert!(took <= TIMER_RESOLUTION, "during the backoff after a failed poll: {took:?}");
+            // During a poll, and three changes in a row, of which the last one takes effect.
             sleep(Duration::from_millis(200)).await;
             for address in &addresses[1..] {
-                moves.send_replace(*address);
+                addresses_sender.send_replace(*address);
                 yield_now().await;
             }
-            let (last, took) = called(&listeners[3]).await;
-            assert!(took <= AT_ONCE, "in the middle of a call: {took:?}");
-            assert!(ended(first).await <= AT_ONCE, "a call stays behind");
+            let (last, took) = accept_poll(&listeners[3]).await;
+            assert!(took <= TIMER_RESOLUTION, "during a poll: {took:?}");
+            assert!(wait_until_closed(first).await <= TIMER_RESOLUTION, "a poll stays open");
             for listener in &listeners[1..3] {
                 if let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
-                    assert!(ended(stream).await <= AT_ONCE, "a call stays behind");
+                    assert!(wait_until_closed(stream).await <= TIMER_RESOLUTION, "a poll stays open");
                 }
             }
             drop(last);
@@ -81,224 +89,243 @@
     }
 }
 
-/// What a discovery has to say, and how it goes about it.
+/// What a scripted discovery server responds.
 #[derive(Clone)]
-struct Shown {
+struct ServerBehavior {
     index: u64,
     /// The one endpoint of its list.
     endpoint: &'static str,
-    /// How late each answer comes.
-    late: Duration,
-    is_refusing: bool,
+    /// Delay of each response.
+    delay: Duration,
+    is_rejecting: bool,
 }
 
-impl Shown {
-    fn at_once(index: u64, endpoint: &'static str) -> Shown {
-        Shown { index, endpoint, late: Duration::ZERO, is_refusing: false }
+impl ServerBehavior {
+    fn immediate(index: u64, endpoint: &'static str) -> ServerBehavior {
+        ServerBehavior { index, endpoint, delay: Duration::ZERO, is_rejecting: false }
     }
 }
 
-/// A discovery that takes every call and answers it as it is shown to at the time.
-async fn discovery(shown: Shown) -> (std::net::SocketAddr, watch::Sender<Shown>) {
-    let (listener, (show, shown)) = (listen().await, watch::channel(shown));
-    let address = listener.local_addr().expect("bound");
+/// A discovery server that accepts every poll and responds as the last value of the sender says.
+async fn discovery(behavior: ServerBehavior) -> (std::net::SocketAddr, watch::Sender<ServerBehavior>) {
+    let (listener, (behavior_sender, behavior)) = (listen().await, watch::channel(behavior));
+    let address = listener.local_addr().expect("no local address");
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(answer_calls(stream, shown.clone()));
+            spawn_local(serve_polls(stream, behavior.clone()));
         }
     });
-    (address, show)
+    (address, behavior_sender)
 }
 
-async fn answer_calls(mut stream: tokio::net::TcpStream, mut shown: watch::Receiver<Shown>) {
+async fn serve_polls(mut stream: tokio::net::TcpStream, mut behavior: watch::Receiver<ServerBehavior>) {
     let mut head = Vec::new();
     while let Ok(byte) = stream.read_u8().await {
         head.push(byte);
         if !head.ends_with(b"\r\n\r\n") {
             continue;
         }
-        let path = String::from_utf8(std::mem::take(&mut head)).expect("a head");
-        let path = path.split(' ').nth(1).expect("a path").to_owned();
+        let path = String::from_utf8(std::mem::take(&mut head)).expect("no message head");
+        let path = path.split(' ').nth(1).expect("missing path").to_owned();
         let number = |name: &str| {
             let found = path.split(['?', '&']).find_map(|part| part.strip_prefix(name));
-            found.map(|digits| digits.parse::<u64>().expect("a number"))
+            found.map(|digits| digits.parse::<u64>().expect("not a number"))
         };
         let (after, wait) = (number("after="), Duration::from_millis(number("wait_ms=").unwrap_or(0)));
-        let is_news = |shown: &Shown| shown.is_refusing || after.is_none_or(|after| after < shown.index);
-        let _ = timeout(wait, shown.wait_for(is_news)).await;
-        let late = shown.borrow().late;
-        sleep(late).await;
-        let shown = shown.borrow().clone();
-        let endpoints = match after.is_none_or(|after| after < shown.index) {
-            true => json!([{"name": shown.endpoint, "address": "127.0.0.1:9", "status": "SERVING"}]),
+        let has_changed = |behavior: &ServerBehavior| {
+            behavior.is_rejecting || after.is_none_or(|after| after < behavior.index)
+        };
+        let _ = timeout(wait, behavior.wait_for(has_changed)).await;
+        let delay = behavior.borrow().delay;
+        sleep(delay).await;
+        let behavior = behavior.borrow().clone();
+        let endpoints = match after.is_none_or(|after| after < behavior.index) {
+            true => json!([{"name": behavior.endpoint, "address": "127.0.0.1:9", "status": "SERVING"}]),
             false => json!([]),
         };
-        let is_whole = endpoints != json!([]);
-        let body = json!({"index": shown.index, "snapshot": is_whole, "endpoints": endpoints}).to_string();
-        let answer = match shown.is_refusing {
+        let is_snapshot = endpoints != json!([]);
+        let body =
+            json!({"index": behavior.index, "snapshot": is_snapshot, "endpoints": endpoints}).to_string();
+        let response = match behavior.is_rejecting {
             true => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned(),
             false => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
         };
-        if stream.write_all(answer.as_bytes()).await.is_err() {
+        if stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-/// A change is in force so long after discovery had it and could be reached.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(6);
+/// Longest time until a change takes effect after discovery has it and is reachable.
+const EFFECTIVE_WITHIN: Duration = Duration::from_secs(6);
 
-/// A follower whose decisions say when to ask, of the discovery that the sender names last.
-struct Following {
-    moves: watch::Sender<std::net::SocketAddr>,
+/// A client of the discovery server that the sender names last, with a driver that decides when to poll.
+struct DiscoveryClient {
+    addresses_sender: watch::Sender<std::net::SocketAddr>,
     endpoints: Rc<EndpointPool>,
     driver: Rc<Driver>,
 }
 
-impl Following {
-    fn start(mode: Mode, seed: u64, address: std::net::SocketAddr) -> Following {
-        let (moves, address) = watch::channel(address);
-        let (wish, wishes) = mpsc::unbounded_channel();
+impl DiscoveryClient {
+    fn start(mode: Mode, seed: u64, address: std::net::SocketAddr) -> DiscoveryClient {
+        let (addresses_sender, address) = watch::channel(address);
+        let (command_sender, commands) = mpsc::unbounded_channel();
         let endpoints =
             EndpointPool::new(SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1000.0, 100.0);
         let (names, settings) = (Names::default(), balancer::Settings { discovery_mode: mode, ..settings() });
-        let handover = Rc::new(ProcessState::open(None, "n0", &names));
-        let driver = Driver::new(settings, names.clone(), seed, Rc::clone(&endpoints), handover, wish)
-            .expect("usable");
-        let whom = SourceSelector::new(address, None, seed);
+        let process_state = Rc::new(ProcessState::open(None, "n0", &names));
+        let driver =
+            Driver::new(settings, names.clone(), seed, Rc::clone(&endpoints), process_state, command_sender)
+                .expect("invalid settings");
+        let selector = SourceSelector::new(address, None, seed);
         let discovery =
-            Discovery::new(whom, mode, names, seed, Rc::clone(&endpoints), Rc::clone(&driver), None);
-        spawn_local(discovery.run(None, wishes));
-        Following { moves, endpoints, driver }
+            Discovery::new(selector, mode, names, seed, Rc::clone(&endpoints), Rc::clone(&driver), None);
+        spawn_local(discovery.run(None, commands));
+        DiscoveryClient { addresses_sender, endpoints, driver }
     }
 
     fn has(&self, endpoint: &str) -> bool {
         self.endpoints.endpoint_ids() == [self.driver.ids().get_or_assign(endpoint)]
     }
 
-    /// How long it takes until the list is this endpoint alone.
-    async fn until(&self, endpoint: &str) -> Duration {
+    /// How long it takes until the list consists of this endpoint alone.
+    async fn wait_until_listed(&self, endpoint: &str) -> Duration {
         let since = Instant::now();
-        while !self.has(endpoint) && since.elapsed() < 4 * IN_FORCE_WITHIN {
-            look_again().await;
+        while !self.has(endpoint) && since.elapsed() < 4 * EFFECTIVE_WITHIN {
+            advance_time().await;
         }
         since.elapsed()
     }
 }
 
-/// Lets a little time pass, and the system a moment for what it has been given: time stands still for as long
-/// as there is anything else to do, and what is still with the system is nothing to do yet.
-async fn look_again() {
+/// Advances the virtual time a little. It advances only while nothing is ready to run, and data still in
+/// the system's sockets does not count as ready, so the thread first gives the system a moment to deliver
+/// it.
+async fn advance_time() {
     std::thread::sleep(Duration::from_micros(50));
     sleep(Duration::from_millis(10)).await;
 }
 
-/// Guards against a change that is in force late because discovery, where it has moved to, answers late or
-/// refuses calls for a while, as of the move itself and as of a later change.
+/// The new discovery responds late or rejects polls for a while. Its list, and a later change, must still
+/// take effect in time.
 #[test]
-fn a_slow_or_crowded_discovery_is_followed_in_time_after_a_move() {
+fn slow_discovery_is_followed_after_address_change() {
     const OFFSETS: u64 = 8;
     for mode in [Mode::Push, Mode::Pull] {
-        for (late, refusing) in [(1, 0), (2, 0), (3, 0), (0, 1), (0, 3), (0, 8), (1, 4), (2, 4)] {
+        for (delay_s, rejecting_s) in [(1, 0), (2, 0), (3, 0), (0, 1), (0, 3), (0, 8), (1, 4), (2, 4)] {
             for n in 0..OFFSETS {
                 run(async {
-                    let what = format!("{mode:?}, late {late} s, refusing {refusing} s, {n}");
-                    let (old, _show) = discovery(Shown::at_once(41, "old")).await;
-                    let following = Following::start(mode, n, old);
-                    following.until("old").await;
+                    let context = format!("{mode:?}, delay {delay_s} s, rejecting {rejecting_s} s, {n}");
+                    let (old, _behavior_sender) = discovery(ServerBehavior::immediate(41, "old")).await;
+                    let client = DiscoveryClient::start(mode, n, old);
+                    client.wait_until_listed("old").await;
                     sleep(Duration::from_millis(200 * n)).await;
-                    let late = Duration::from_secs(late);
-                    let first = Shown { index: 42, endpoint: "new", late, is_refusing: refusing > 0 };
-                    let (new, show) = discovery(first).await;
-                    following.moves.send_replace(new);
+                    let delay = Duration::from_secs(delay_s);
+                    let first =
+                        ServerBehavior { index: 42, endpoint: "new", delay, is_rejecting: rejecting_s > 0 };
+                    let (new, behavior_sender) = discovery(first).await;
+                    client.addresses_sender.send_replace(new);
                     let since = Instant::now();
-                    while since.elapsed() < Duration::from_secs(refusing) {
-                        look_again().await;
+                    while since.elapsed() < Duration::from_secs(rejecting_s) {
+                        advance_time().await;
                     }
-                    show.send_modify(|shown| shown.is_refusing = false);
-                    let took = following.until("new").await;
-                    assert!(took <= IN_FORCE_WITHIN, "{what}: the list after the move: {took:?}");
+                    behavior_sender.send_modify(|behavior| behavior.is_rejecting = false);
+                    let took = client.wait_until_listed("new").await;
+                    assert!(
+                        took <= EFFECTIVE_WITHIN,
+                        "{context}: the list after the address change: {took:?}"
+                    );
                     let since = Instant::now();
                     while since.elapsed() < Duration::from_millis(500 * n) {
-                        look_again().await;
+                        advance_time().await;
                     }
-                    show.send_modify(|shown| (shown.index, shown.endpoint) = (43, "newer"));
-                    let took = following.until("newer").await;
-                    assert!(took <= IN_FORCE_WITHIN, "{what}: a later change: {took:?}");
+                    behavior_sender
+                        .send_modify(|behavior| (behavior.index, behavior.endpoint) = (43, "newer"));
+                    let took = client.wait_until_listed("newer").await;
+                    assert!(took <= EFFECTIVE_WITHIN, "{context}: a later change: {took:?}");
                 });
             }
         }
     }
 }
 
-/// Guards against a move that is skipped or taken out of turn where discoveries are slow: of three within
-/// half a second the last one holds, in time, and nothing that an earlier one answers by then or later.
+/// Of three address changes within half a second, with slow discoveries, only the last may take effect, and
+/// in time: no change may be skipped or applied out of order, and no response of an earlier discovery may
+/// be applied.
 #[test]
-fn the_last_of_three_quick_moves_holds_however_late_the_others_answer() {
-    const APART: Duration = Duration::from_millis(200);
+fn last_of_three_address_changes_takes_effect() {
+    const INTERVAL: Duration = Duration::from_millis(200);
     for mode in [Mode::Push, Mode::Pull] {
-        for (late, last_late) in [(500, 0), (1000, 1000), (1000, 3000), (3000, 1000), (3000, 3000)] {
-            for refusing in [0, 3] {
+        for (delay_ms, last_delay_ms) in [(500, 0), (1000, 1000), (1000, 3000), (3000, 1000), (3000, 3000)] {
+            for rejecting_s in [0, 3] {
                 run(async {
-                    let what =
-                        format!("{mode:?}, late {late} ms, the last {last_late} ms, refusing {refusing} s");
-                    let (old, _show) = discovery(Shown::at_once(41, "old")).await;
-                    let following = Following::start(mode, late, old);
-                    following.until("old").await;
-                    let shown = |index, endpoint, late| Shown {
-                        late: Duration::from_millis(late),
-                        ..Shown::at_once(index, endpoint)
+                    let context = format!(
+                        "{mode:?}, delay {delay_ms} ms, last {last_delay_ms} ms, rejecting {rejecting_s} s"
+                    );
+                    let (old, _behavior_sender) = discovery(ServerBehavior::immediate(41, "old")).await;
+                    let client = DiscoveryClient::start(mode, delay_ms, old);
+                    client.wait_until_listed("old").await;
+                    let behavior = |index, endpoint, delay_ms| ServerBehavior {
+                        delay: Duration::from_millis(delay_ms),
+                        ..ServerBehavior::immediate(index, endpoint)
                     };
-                    let (one, _show) = discovery(shown(900, "one", late)).await;
-                    let (two, _show) = discovery(shown(800, "two", late)).await;
-                    let is_refusing = refusing > 0;
-                    let (three, show) =
-                        discovery(Shown { is_refusing, ..shown(42, "three", last_late) }).await;
+                    let (one, _behavior_sender) = discovery(behavior(900, "one", delay_ms)).await;
+                    let (two, _behavior_sender) = discovery(behavior(800, "two", delay_ms)).await;
+                    let is_rejecting = rejecting_s > 0;
+                    let (three, behavior_sender) =
+                        discovery(ServerBehavior { is_rejecting, ..behavior(42, "three", last_delay_ms) })
+                            .await;
                     for address in [one, two, three] {
-                        following.moves.send_replace(address);
-                        sleep(APART).await;
+                        client.addresses_sender.send_replace(address);
+                        sleep(INTERVAL).await;
                     }
                     let since = Instant::now();
                     let mut took = None;
-                    while since.elapsed() < Duration::from_secs(refusing) + 2 * IN_FORCE_WITHIN {
-                        assert!(!following.has("one") && !following.has("two"), "{what}");
-                        if took.is_none() && since.elapsed() >= Duration::from_secs(refusing) {
-                            show.send_if_modified(|shown| std::mem::replace(&mut shown.is_refusing, false));
-                            took = following.has("three").then(|| since.elapsed());
+                    while since.elapsed() < Duration::from_secs(rejecting_s) + 2 * EFFECTIVE_WITHIN {
+                        assert!(!client.has("one") && !client.has("two"), "{context}");
+                        if took.is_none() && since.elapsed() >= Duration::from_secs(rejecting_s) {
+                            behavior_sender.send_if_modified(|behavior| {
+                                std::mem::replace(&mut behavior.is_rejecting, false)
+                            });
+                            took = client.has("three").then(|| since.elapsed());
                         }
-                        assert!(took.is_none() || following.has("three"), "{what}: taken back");
-                        look_again().await;
+                        assert!(
+                            took.is_none() || client.has("three"),
+                            "{context}: replaced by an earlier list"
+                        );
+                        advance_time().await;
                     }
-                    let took = took.expect("in force") - Duration::from_secs(refusing);
-                    assert!(took <= IN_FORCE_WITHIN, "{what}: {took:?}");
+                    let took = took.expect("the list did not take effect") - Duration::from_secs(rejecting_s);
+                    assert!(took <= EFFECTIVE_WITHIN, "{context}: {took:?}");
                 });
             }
         }
     }
 }
 
-/// Guards against a list that is late because the new discovery counts its versions from less than the one
-/// before.
+/// The new discovery counts its versions from a lower number than the one before. Its list must not be
+/// taken for an old one and be applied late.
 #[test]
-fn a_slow_discovery_with_versions_of_its_own_is_followed_in_time_after_a_move() {
+fn lower_versions_of_new_discovery_are_accepted() {
     for mode in [Mode::Push, Mode::Pull] {
-        for late in [0, 1000, 2000] {
+        for delay_ms in [0, 1000, 2000] {
             run(async {
-                let (old, _show) = discovery(Shown::at_once(41, "old")).await;
-                let following = Following::start(mode, 1, old);
-                following.until("old").await;
-                let late = Duration::from_millis(late);
-                let (new, show) = discovery(Shown { late, ..Shown::at_once(7, "new") }).await;
-                following.moves.send_replace(new);
-                let took = following.until("new").await;
-                assert!(took <= IN_FORCE_WITHIN, "{mode:?}, late {late:?}: {took:?}");
-                // Where the same address is named again, an old answer is an old answer.
-                show.send_modify(|shown| (shown.index, shown.endpoint) = (8, "newer"));
-                following.until("newer").await;
-                following.moves.send_replace(new);
-                show.send_modify(|shown| (shown.index, shown.endpoint) = (7, "new"));
-                let took = following.until("new").await;
-                assert!(took >= 5 * late / 2, "{mode:?}, late {late:?}: taken the first time: {took:?}");
+                let (old, _behavior_sender) = discovery(ServerBehavior::immediate(41, "old")).await;
+                let client = DiscoveryClient::start(mode, 1, old);
+                client.wait_until_listed("old").await;
+                let delay = Duration::from_millis(delay_ms);
+                let (new, behavior_sender) =
+                    discovery(ServerBehavior { delay, ..ServerBehavior::immediate(7, "new") }).await;
+                client.addresses_sender.send_replace(new);
+                let took = client.wait_until_listed("new").await;
+                assert!(took <= EFFECTIVE_WITHIN, "{mode:?}, delay {delay:?}: {took:?}");
+                // If the same address is configured again, an older version is still an older one.
+                behavior_sender.send_modify(|behavior| (behavior.index, behavior.endpoint) = (8, "newer"));
+                client.wait_until_listed("newer").await;
+                client.addresses_sender.send_replace(new);
+                behavior_sender.send_modify(|behavior| (behavior.index, behavior.endpoint) = (7, "new"));
+                let took = client.wait_until_listed("new").await;
+                assert!(took >= 5 * delay / 2, "{mode:?}, delay {delay:?}: applied too early: {took:?}");
             });
         }
     }
--- a/client-proxy/src/endpoint_pool/tests.rs
+++ b/client-proxy/src/endpoint_pool/tests.rs
@@ -13,124 +13,133 @@
 use crate::socket_budget::Side;
 use crate::upstream_request::UpstreamRequest;
 
-/// Reads a request without a body and answers it.
-fn answer(stream: &mut std::net::TcpStream, body: &str) {
+/// Reads a request without a body and responds to it.
+fn read_request_and_respond(stream: &mut std::net::TcpStream, body: &str) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("a request");
+        stream.read_exact(&mut byte).expect("no request arrived");
         head.extend(byte);
     }
-    say(stream, body);
+    write_response(stream, body);
 }
 
-fn say(stream: &mut std::net::TcpStream, body: &str) {
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    stream.write_all(answer.as_bytes()).expect("written");
+fn write_response(stream: &mut std::net::TcpStream, body: &str) {
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    stream.write_all(response.as_bytes()).expect("could not write");
 }
 
-fn body(end: &AttemptResult) -> &[u8] {
-    match &end.served.as_ref().expect("an answer").body {
+fn body(result: &AttemptResult) -> &[u8] {
+    match &result.served.as_ref().expect("no response").body {
         UpstreamBody::Buffered(body) => body,
-        UpstreamBody::Streamed(_) => panic!("it is a short one"),
+        UpstreamBody::Streamed(_) => panic!("the response is streamed"),
     }
 }
 
-/// What comes over an idle connection.
+/// What arrives on an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Comes {
-    /// An answer to nobody.
+enum Input {
+    /// An unsolicited response.
     Stray,
     Close,
     Reset,
 }
 
-/// Guards against an answer to nobody that is taken for the next one, and against a request written to a
-/// connection that its endpoint has ended: the system has it, but no task was told of it when the connection
-/// is to be used again.
+/// The system has received an unsolicited response or the end of the connection, but no task was notified
+/// of it when the connection is to be reused. The response would be taken for that of the next request, or
+/// the request would be written to a dead connection.
 #[test]
-fn a_connection_over_which_something_has_come_unnoticed_is_not_used() {
-    for comes in [Comes::Stray, Comes::Close, Comes::Reset] {
-        comes_unnoticed(comes);
+fn idle_connection_with_unnoticed_input_is_not_reused() {
+    for input in [Input::Stray, Input::Close, Input::Reset] {
+        assert_not_reused_after(input);
     }
 }
 
-fn comes_unnoticed(comes: Comes) {
+fn assert_not_reused_after(input: Input) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let (go, gate) = channel::<()>();
+    LocalSet::new().block_on(&runtime.expect("could not build the runtime"), async {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+        let address = listener.local_addr().expect("no local address");
+        let (release, gate) = channel::<()>();
         let server = std::thread::spawn(move || {
-            let (mut first, _) = listener.accept().expect("a connection");
-            answer(&mut first, "first");
-            gate.recv().expect("word of the test");
-            match comes {
-                Comes::Stray => say(&mut first, "stray"),
-                Comes::Close => {}
-                Comes::Reset => SockRef::from(&first).set_linger(Some(Duration::ZERO)).expect("a socket"),
+            let (mut first, _) = listener.accept().expect("accept failed");
+            read_request_and_respond(&mut first, "first");
+            gate.recv().expect("the test has ended");
+            match input {
+                Input::Stray => write_response(&mut first, "stray"),
+                Input::Close => {}
+                Input::Reset => {
+                    SockRef::from(&first).set_linger(Some(Duration::ZERO)).expect("invalid socket")
+                }
             }
-            let _open = Some(first).filter(|_| comes == Comes::Stray);
-            let (mut second, _) = listener.accept().expect("a new connection");
-            answer(&mut second, "second");
+            let _open = Some(first).filter(|_| input == Input::Stray);
+            let (mut second, _) = listener.accept().expect("accept failed");
+            read_request_and_respond(&mut second, "second");
         });
         let endpoints =
             EndpointPool::new(SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
         let endpoint = EndpointId(0);
         endpoints.set_location(endpoint, EndpointLocation { address, since_ms: 0, serving: true });
-        let order = Rc::new(UpstreamRequest::empty(Duration::from_secs(20)));
-        let end = endpoints.attempt(endpoint, &order, None).await;
-        assert_eq!(body(&end), b"first");
-        // Until it rests: the connection has asked for more and was told that there is nothing.
+        let request = Rc::new(UpstreamRequest::empty(Duration::from_secs(20)));
+        let result = endpoints.attempt(endpoint, &request, None).await;
+        assert_eq!(body(&result), b"first");
+        // Until the connection is idle: it has tried to read and found nothing.
         for _ in 0..100 {
             yield_now().await;
         }
-        go.send(()).expect("the server waits");
-        // From here on the runtime is not asked for news of any socket until the connection is taken up.
+        release.send(()).expect("the server thread has ended");
+        // From here on the runtime does not poll any socket until the connection is taken from the pool.
         while endpoints.endpoints.borrow()[&endpoint].idle[0].conn.stream.is_quiet() {
             std::thread::yield_now();
         }
-        let end = endpoints.attempt(endpoint, &order, None).await;
-        assert_eq!(end.outcome, Outcome::Served, "{comes:?}");
-        assert_eq!(body(&end), b"second", "{comes:?}");
-        server.join().expect("no panic");
+        let result = endpoints.attempt(endpoint, &request, None).await;
+        assert_eq!(result.outcome, Outcome::Served, "{input:?}");
+        assert_eq!(body(&result), b"second", "{input:?}");
+        server.join().expect("another task or thread panicked");
     });
 }
 
-/// A connection of a client, as the client proxy and the client have it.
+/// Both ends of a client connection.
 fn client() -> (Rc<MonitoredStream>, std::net::TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let theirs = std::net::TcpStream::connect(listener.local_addr().expect("bound")).expect("a connection");
-    let (ours, _) = listener.accept().expect("a connection");
-    ours.set_nonblocking(true).expect("a socket");
-    let slot = SocketBudget::new(1024, 0).try_acquire(Side::Client).expect("a place");
-    (MonitoredStream::new(TcpStream::from_std(ours).expect("registered"), slot), theirs)
+    let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+    let peer = std::net::TcpStream::connect(listener.local_addr().expect("no local address"))
+        .expect("could not connect");
+    let (accepted, _) = listener.accept().expect("accept failed");
+    accepted.set_nonblocking(true).expect("invalid socket");
+    let permit = SocketBudget::new(1024, 0).try_acquire(Side::Client).expect("no socket permit");
+    (
+        MonitoredStream::new(TcpStream::from_std(accepted).expect("could not register the socket"), permit),
+        peer,
+    )
 }
 
-/// Prevents an attempt for a client that left, or whose time ended, after the last look of the attempt itself
-/// and before the connection's task had its turn to write, with a process held up between the two and a
-/// runtime that has not asked for news of its sockets since.
+/// The client disconnects, or its deadline passes, after the last check of the attempt and before the task
+/// of the connection writes; the process is delayed between the two, and the runtime has not polled its
+/// sockets since. There must be no attempt for it.
 #[test]
-fn no_attempt_begins_for_a_client_that_left_right_before_the_write() {
+fn disconnect_before_the_write_prevents_the_attempt() {
     #[derive(Clone, Copy, Debug)]
-    enum Left {
+    enum Departure {
         Closed,
         HalfClosed,
         Reset,
-        TimeIsUp,
+        DeadlinePassed,
     }
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    for left in [Left::Closed, Left::HalfClosed, Left::Reset, Left::TimeIsUp] {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("could not build the runtime");
+    for departure in [Departure::Closed, Departure::HalfClosed, Departure::Reset, Departure::DeadlinePassed] {
         LocalSet::new().block_on(&runtime, async {
-            let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-            let address = listener.local_addr().expect("bound");
+            let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+            let address = listener.local_addr().expect("no local address");
             let server = std::thread::spawn(move || {
-                let (mut stream, _) = listener.accept().expect("a connection");
-                answer(&mut stream, "first");
-                let mut more = vec![0; 1024];
-                let read = stream.read(&mut more).expect("bytes or an end");
-                more.truncate(read);
-                more
+                let (mut stream, _) = listener.accept().expect("accept failed");
+                read_request_and_respond(&mut stream, "first");
+                let mut received = vec![0; 1024];
+                let read = stream.read(&mut received).expect("could not read");
+                received.truncate(read);
+                received
             });
             let endpoints =
                 EndpointPool::new(SocketBudget::new(1024, 0), Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
@@ -141,56 +150,59 @@
                 body(&endpoints.attempt(endpoint, &Rc::new(UpstreamRequest::empty(long)), None).await),
                 b"first"
             );
-            let patience = if matches!(left, Left::TimeIsUp) { Duration::from_millis(40) } else { long };
-            let (watched, theirs) = client();
-            let order = Rc::new(UpstreamRequest {
-                client: Some(Rc::clone(&watched)),
-                ..UpstreamRequest::empty(patience)
+            let deadline =
+                if matches!(departure, Departure::DeadlinePassed) { Duration::from_millis(40) } else { long };
+            let (stream, peer) = client();
+            let request = Rc::new(UpstreamRequest {
+                client: Some(Rc::clone(&stream)),
+                ..UpstreamRequest::empty(deadline)
             });
-            let mut attempt = Box::pin(endpoints.attempt(endpoint, &order, None));
+            let mut attempt = Box::pin(endpoints.attempt(endpoint, &request, None));
             tokio::select! {
                 biased;
-                _ = &mut attempt => panic!("nothing can have come back"),
+                _ = &mut attempt => panic!("the attempt ended before its response"),
                 _ = std::future::ready(()) => {}
             }
-            // From here to the write the runtime does nothing: what it was told of the client is out of date.
-            match left {
-                Left::Closed => drop(theirs),
-                Left::HalfClosed => theirs.shutdown(std::net::Shutdown::Write).expect("open"),
-                Left::Reset => {
+            // From here to the write the runtime does not run, so it is not notified of the client.
+            match departure {
+                Departure::Closed => drop(peer),
+                Departure::HalfClosed => {
+                    peer.shutdown(std::net::Shutdown::Write).expect("could not shut down the sending side")
+                }
+                Departure::Reset => {
                     let linger = Some(Duration::ZERO);
-                    socket2::SockRef::from(&theirs).set_linger(linger).expect("a socket");
-                    drop(theirs);
+                    socket2::SockRef::from(&peer).set_linger(linger).expect("invalid socket");
+                    drop(peer);
                 }
-                Left::TimeIsUp => std::thread::sleep(2 * patience),
+                Departure::DeadlinePassed => std::thread::sleep(2 * deadline),
             }
-            while !matches!(left, Left::TimeIsUp) && watched.is_quiet() {
+            while !matches!(departure, Departure::DeadlinePassed) && stream.is_quiet() {
                 std::thread::yield_now();
             }
-            let end = attempt.await;
-            assert_eq!(server.join().expect("no panic"), b"", "{left:?}");
-            assert_eq!(end.outcome, Outcome::NeverSent, "{left:?}");
+            let result = attempt.await;
+            assert_eq!(server.join().expect("another task or thread panicked"), b"", "{departure:?}");
+            assert_eq!(result.outcome, Outcome::NeverSent, "{departure:?}");
         });
     }
 }
 
-/// Prevents an attempt that waits for the system here from passing for one that its endpoint is slow with, or
-/// that is still out: it ends at once, and the decisions hold the request.
+/// An attempt that cannot begin for a local reason must neither count as a slow endpoint nor stay in
+/// flight. It ends at once, and the load-balancing core keeps the request.
 #[test]
-fn an_attempt_that_cannot_be_begun_here_ends_at_once_as_never_sent() {
+fn locally_failed_attempt_ends_as_never_sent() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+    LocalSet::new().block_on(&runtime.expect("could not build the runtime"), async {
         let (free, full) = (SocketBudget::new(1024, 0), SocketBudget::new(0, 0));
         let _all: Vec<_> = std::iter::from_fn(|| full.try_acquire(Side::Upstream)).collect();
-        // A link-local address that does not say of which link cannot be dialled from anywhere.
+        // A link-local address without its interface cannot be dialed.
         for (sockets, address) in [(free, "[fe80::1]:9"), (full, "127.0.0.1:9")] {
             let endpoints = EndpointPool::new(sockets, Rc::new(MemoryBudget::new(1 << 20)), 1e6, 1e4);
-            let address = address.parse().expect("an address");
+            let address = address.parse().expect("invalid address");
             endpoints.set_location(EndpointId(0), EndpointLocation { address, since_ms: 0, serving: true });
-            let order = Rc::new(UpstreamRequest::empty(Duration::from_secs(20)));
+            let request = Rc::new(UpstreamRequest::empty(Duration::from_secs(20)));
             let begun = Instant::now();
-            let end = endpoints.attempt(EndpointId(0), &order, None).await;
-            assert_eq!((end.outcome, begun.elapsed()), (Outcome::NeverSent, Duration::ZERO), "{address}");
+            let result = endpoints.attempt(EndpointId(0), &request, None).await;
+            assert_eq!((result.outcome, begun.elapsed()), (Outcome::NeverSent, Duration::ZERO), "{address}");
         }
     });
 }
--- a/client-proxy/src/memory_budget/tests.rs
+++ b/client-proxy/src/memory_budget/tests.rs
@@ -1,25 +1,27 @@
 use super::*;
 
-/// Guards against bodies that fill the memory, and against a share that is lost for good.
+/// Bodies must not fill the memory, and a share must not be lost for good when the number of processes
+/// changes.
 #[test]
-fn no_more_is_held_than_the_share() {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+fn reservations_stay_within_the_share() {
+    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("could not build the runtime");
     runtime.block_on(async {
-        let room = MemoryBudget::new(STREAMED_SHARE_DIVISOR * 8 * STREAMED_BODY_BYTES);
-        let free = || room.streamed.permits.available_permits() * PERMIT_BYTES;
-        let mut held = Vec::new();
-        while free() >= STREAMED_BODY_BYTES {
-            held.push(room.reserve_streamed().await.expect("room"));
+        let budget = MemoryBudget::new(STREAMED_SHARE_DIVISOR * 8 * STREAMED_BODY_BYTES);
+        let free_bytes = || budget.streamed.permits.available_permits() * PERMIT_BYTES;
+        let mut permits = Vec::new();
+        while free_bytes() >= STREAMED_BODY_BYTES {
+            permits.push(budget.reserve_streamed().await.expect("no memory permit"));
         }
-        assert_eq!(held.len(), 8);
-        // Nothing is free to give up yet: it goes as it is let go.
-        room.split_among(2);
-        held.truncate(3);
-        room.split_among(2);
-        assert_eq!(free(), STREAMED_BODY_BYTES);
-        room.split_among(1);
-        assert_eq!(free(), 5 * STREAMED_BODY_BYTES);
-        // Long ones take nothing from short ones, and more than there is at all is no reason to hang.
-        assert!(room.reserve_buffered(usize::MAX).await.is_some());
+        assert_eq!(permits.len(), 8);
+        // Nothing is free to be given up yet: it is given up as it is released.
+        budget.split_among(2);
+        permits.truncate(3);
+        budget.split_among(2);
+        assert_eq!(free_bytes(), STREAMED_BODY_BYTES);
+        budget.split_among(1);
+        assert_eq!(free_bytes(), 5 * STREAMED_BODY_BYTES);
+        // Streamed bodies take nothing from buffered ones, and a reservation above the total must not block
+        // forever.
+        assert!(budget.reserve_buffered(usize::MAX).await.is_some());
     });
 }
--- a/client-proxy/src/monitored_stream/tests.rs
+++ b/client-proxy/src/monitored_stream/tests.rs
@@ -12,40 +12,41 @@
 use super::*;
 use crate::socket_budget::{Side, SocketBudget};
 
-async fn joined() -> (Rc<MonitoredStream>, std::net::TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
-    let stream = TcpStream::connect(address).await.expect("accepted");
-    let slot = SocketBudget::new(1024, 0).try_acquire(Side::Upstream).expect("a place");
-    (MonitoredStream::new(stream, slot), listener.accept().expect("a connection").0)
+async fn connected_pair() -> (Rc<MonitoredStream>, std::net::TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
+    let address = listener.local_addr().expect("no local address");
+    let stream = TcpStream::connect(address).await.expect("could not connect");
+    let permit = SocketBudget::new(1024, 0).try_acquire(Side::Upstream).expect("no socket permit");
+    (MonitoredStream::new(stream, permit), listener.accept().expect("accept failed").0)
 }
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("a runtime").block_on(test);
+    runtime.expect("could not build the runtime").block_on(test);
 }
 
-/// Guards against a request taken for run, or for not run, against the evidence.
+/// A request that was written completely may have been run, a partial one cannot have been. If the two were
+/// confused, a retry could cause a second effect, or a request that could be retried would fail.
 #[test]
-fn what_was_written_in_part_is_known_to_be_partial() {
+fn partly_written_request_is_reported_as_partial() {
     run(async {
-        let (watched, mut other) = joined().await;
-        SockRef::from(&watched.stream).set_send_buffer_size(4096).expect("a small buffer");
-        assert!(watched.is_partially_written(), "nothing is written yet");
+        let (watched, mut peer) = connected_pair().await;
+        SockRef::from(&watched.stream).set_send_buffer_size(4096).expect("could not set the buffer size");
+        assert!(watched.is_partially_written(), "nothing has been written yet");
         let mut io = Io(Rc::clone(&watched));
-        io.write_all(b"whole").await.expect("written");
-        assert!(watched.is_partially_written(), "more may be to come");
+        io.write_all(b"whole").await.expect("could not write");
+        assert!(watched.is_partially_written(), "more may follow");
         watched.mark_body_handed_over();
         assert!(!watched.is_partially_written());
         watched.begin_request(&Rc::default(), Box::new(|| true));
         assert!(watched.is_partially_written(), "a new request begins");
         watched.mark_body_handed_over();
-        // More than all buffers hold, to one who does not read: it stays unfinished.
-        let much = vec![0; 64 << 20];
+        // More than all buffers hold, to a peer that does not read: the write stays unfinished.
+        let large = vec![0; 64 << 20];
         let unfinished = std::future::poll_fn(|cx| {
             loop {
-                match Pin::new(&mut io).poll_write(cx, &much) {
-                    Poll::Ready(Ok(written)) if written < much.len() => {}
+                match Pin::new(&mut io).poll_write(cx, &large) {
+                    Poll::Ready(Ok(written)) if written < large.len() => {}
                     Poll::Ready(result) => return Poll::Ready(result.is_err()),
                     Poll::Pending => return Poll::Ready(true),
                 }
@@ -53,109 +54,112 @@
         });
         assert!(unfinished.await && watched.is_partially_written());
         let mut five = [0; 5];
-        other.read_exact(&mut five).expect("what was written whole");
+        peer.read_exact(&mut five).expect("could not read the complete write");
     });
 }
 
-/// Guards against a close, or bytes out of turn, that the system has but no task was told of.
+/// The system has received a close or unsolicited bytes, but no task has been notified yet. The connection
+/// must not pass for idle.
 #[test]
-fn a_connection_is_quiet_until_something_comes() {
+fn input_is_noticed_before_any_task_is_notified() {
     run(async {
-        let (watched, mut other) = joined().await;
+        let (watched, mut peer) = connected_pair().await;
         assert!(watched.is_quiet());
-        other.write_all(b"x").expect("written");
+        peer.write_all(b"x").expect("could not write");
         assert!(!watched.is_quiet());
-        let (watched, other) = joined().await;
-        other.shutdown(std::net::Shutdown::Both).expect("closed");
+        let (watched, peer) = connected_pair().await;
+        peer.shutdown(std::net::Shutdown::Both).expect("could not close the connection");
         assert!(!watched.is_quiet());
     });
 }
 
-/// Prevents an attempt for a client that left behind more than is read ahead, where the runtime was told of
-/// nothing since.
+/// A client disconnects behind more data than is read ahead, and the runtime has not been notified since.
+/// An attempt must not begin for it.
 #[test]
-fn an_end_behind_more_than_is_read_ahead_is_known_when_the_system_is_asked() {
+fn hang_up_behind_full_read_ahead_is_detected() {
     run(async {
-        for more in [0, 1, MAX_READ_AHEAD] {
-            let (watched, mut other) = joined().await;
-            other.write_all(&vec![0; MAX_READ_AHEAD + more]).expect("written");
-            // The runtime is not run from here on.
-            assert_eq!(watched.query_hang_up(), None, "{more} more");
-            other.shutdown(std::net::Shutdown::Write).expect("open");
-            assert_eq!(watched.query_hang_up(), Some(HangUp::Closed), "{more} more");
+        for extra in [0, 1, MAX_READ_AHEAD] {
+            let (watched, mut peer) = connected_pair().await;
+            peer.write_all(&vec![0; MAX_READ_AHEAD + extra]).expect("could not write");
+            // The runtime does not run from here on.
+            assert_eq!(watched.query_hang_up(), None, "{extra} more");
+            peer.shutdown(std::net::Shutdown::Write).expect("could not shut down the sending side");
+            assert_eq!(watched.query_hang_up(), Some(HangUp::Closed), "{extra} more");
         }
     });
 }
 
-/// Prevents a read that brings less than there was room for from passing for all that there is: an end may
-/// lie behind it.
+/// A read that returns less than the buffer holds does not mean that nothing follows: an end of stream may
+/// be behind it.
 #[test]
-fn an_end_behind_a_few_bytes_is_known_when_the_system_is_asked() {
+fn hang_up_behind_a_short_read_is_detected() {
     run(async {
-        for few in [1, 100, 2000] {
-            let (watched, mut other) = joined().await;
-            other.write_all(&vec![0; few]).expect("written");
-            other.shutdown(std::net::Shutdown::Write).expect("open");
-            // The runtime is not run from here on.
-            assert_eq!(watched.query_hang_up(), Some(HangUp::Closed), "{few} bytes");
+        for length in [1, 100, 2000] {
+            let (watched, mut peer) = connected_pair().await;
+            peer.write_all(&vec![0; length]).expect("could not write");
+            peer.shutdown(std::net::Shutdown::Write).expect("could not shut down the sending side");
+            // The runtime does not run from here on.
+            assert_eq!(watched.query_hang_up(), Some(HangUp::Closed), "{length} bytes");
         }
     });
 }
 
-/// Guards against a client that learns a second late that its answer has broken off.
+/// The peer has to see the end of the stream at once, not after the drain: a client would learn a second
+/// late that its response is truncated.
 #[test]
-fn what_is_drained_has_ended_for_the_other_side() {
+fn drained_stream_is_shut_down_for_the_peer() {
     run(async {
-        let (watched, mut other) = joined().await;
-        other.set_read_timeout(Some(Duration::from_secs(20))).expect("a time limit");
+        let (watched, mut peer) = connected_pair().await;
+        peer.set_read_timeout(Some(Duration::from_secs(20))).expect("could not set the read timeout");
         tokio::select! {
             biased;
             _ = watched.drain(Duration::from_secs(3600)) => panic!("the other side has not closed"),
             _ = std::future::ready(()) => {}
         }
-        assert_eq!(other.read(&mut [0; 1]).expect("an end"), 0);
+        assert_eq!(peer.read(&mut [0; 1]).expect("could not read the end of the stream"), 0);
     });
 }
 
-/// With a clock that stands still but for [`advance`].
+/// Runs a test with a clock that only [`advance`] moves.
 fn run_paused(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    runtime.expect("a runtime").block_on(test);
+    runtime.expect("could not build the runtime").block_on(test);
 }
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Sends `bytes`, and waits until the runtime was told of them.
-async fn send(watched: &MonitoredStream, other: &mut std::net::TcpStream, bytes: &[u8]) {
-    other.write_all(bytes).expect("written");
-    watched.stream.readable().await.expect("open");
+/// Sends `bytes` and waits until the runtime has been notified.
+async fn send(watched: &MonitoredStream, peer: &mut std::net::TcpStream, bytes: &[u8]) {
+    peer.write_all(bytes).expect("could not write");
+    watched.stream.readable().await.expect("could not poll the socket");
 }
 
-/// Reads once; what came, and when it was sent as far as known.
+/// Reads once; returns the bytes and the earliest time at which they can have been sent, as far as known.
 async fn read(watched: &Rc<MonitoredStream>) -> (Vec<u8>, Instant) {
     let mut buf = vec![0; 100];
-    let read = tokio::io::AsyncReadExt::read(&mut Io(Rc::clone(watched)), &mut buf).await.expect("bytes");
+    let read =
+        tokio::io::AsyncReadExt::read(&mut Io(Rc::clone(watched)), &mut buf).await.expect("could not read");
     buf.truncate(read);
     (buf, watched.last_read_sent_after())
 }
 
-/// Prevents a pipelined request from being passed on with the time that it spent behind the earlier answer:
-/// in the read-ahead or with the system.
+/// A pipelined request waits behind an earlier response, in the read-ahead or in the system's buffer. That
+/// time must count against its deadline.
 #[test]
-fn what_lay_unread_was_sent_after_the_system_was_last_empty() {
+fn unread_bytes_date_from_the_last_empty_read() {
     run_paused(async {
-        let (watched, mut other) = joined().await;
+        let (watched, mut peer) = connected_pair().await;
         assert!(watched.is_quiet());
         let mut expected = Vec::new();
         for piece in [&b"one"[..], b"two", b"three"] {
             expected.push((piece.to_vec(), Instant::now()));
             advance(SECOND).await;
-            send(&watched, &mut other, piece).await;
+            send(&watched, &mut peer, piece).await;
             assert_eq!(watched.read_ahead_for_end(), None);
         }
         expected.push((b"four".to_vec(), Instant::now()));
         advance(SECOND).await;
-        send(&watched, &mut other, b"four").await;
+        send(&watched, &mut peer, b"four").await;
         advance(SECOND).await;
         for expected in expected {
             assert_eq!(read(&watched).await, expected);
@@ -163,11 +167,11 @@
     });
 }
 
-/// Prevents a request on an idle connection from losing the time for which the connection was idle.
+/// A request on an idle connection must not lose the time for which the connection was idle.
 #[test]
-fn what_wakes_a_waiting_reader_was_sent_just_now() {
+fn bytes_that_wake_a_reader_are_new() {
     run_paused(async {
-        let (watched, mut other) = joined().await;
+        let (watched, mut peer) = connected_pair().await;
         assert!(watched.is_quiet());
         for _ in 0..3 {
             let mut reading = pin!(read(&watched));
@@ -175,23 +179,23 @@
                 assert!(std::future::poll_fn(|cx| Poll::Ready(reading.as_mut().poll(cx).is_pending())).await);
                 advance(SECOND).await;
             }
-            send(&watched, &mut other, b"x").await;
+            send(&watched, &mut peer, b"x").await;
             assert_eq!(reading.await.1, Instant::now());
         }
     });
 }
 
-/// The same for what comes while an answer is waited for, and is read ahead.
+/// The same for bytes that come while a response is awaited, and are read ahead.
 #[test]
-fn what_wakes_the_watch_for_a_hang_up_was_sent_just_now() {
+fn bytes_that_wake_the_hang_up_watch_are_new() {
     run_paused(async {
-        let (watched, mut other) = joined().await;
+        let (watched, mut peer) = connected_pair().await;
         let mut hung_up = pin!(watched.wait_for_hang_up());
         let mut sent = Vec::new();
         for _ in 0..3 {
             assert!(std::future::poll_fn(|cx| Poll::Ready(hung_up.as_mut().poll(cx).is_pending())).await);
             advance(SECOND).await;
-            send(&watched, &mut other, b"x").await;
+            send(&watched, &mut peer, b"x").await;
             sent.push(Instant::now());
         }
         assert!(std::future::poll_fn(|cx| Poll::Ready(hung_up.as_mut().poll(cx).is_pending())).await);
@@ -202,16 +206,16 @@
     });
 }
 
-/// Prevents bytes that lay with the system from passing for new ones because the reader's task had used up
-/// its turn.
+/// If the task has used up its cooperative budget, a pending read does not mean that the system's buffer is
+/// empty. Bytes that were already there must not pass for new ones.
 #[test]
-fn a_reader_whose_turn_is_used_up_knows_nothing_of_the_system() {
+fn read_without_coop_budget_proves_no_empty_buffer() {
     use tokio::task::coop::poll_proceed;
     run_paused(async {
-        let (watched, mut other) = joined().await;
+        let (watched, mut peer) = connected_pair().await;
         assert!(watched.is_quiet());
         let empty = Instant::now();
-        send(&watched, &mut other, b"x").await;
+        send(&watched, &mut peer, b"x").await;
         advance(SECOND).await;
         std::future::poll_fn(|cx| {
             while let Poll::Ready(turn) = poll_proceed(cx) {
@@ -231,30 +235,30 @@
     });
 }
 
-/// Prevents a request that its client sends the moment it has an answer from losing the time that the answer
-/// took, and one that came before that from gaining it.
+/// A request that its client sends right after a response must not lose the time that the response took,
+/// and one that came earlier must not gain it.
 #[test]
-fn what_comes_behind_an_answer_was_sent_after_the_last_note() {
+fn bytes_behind_a_response_date_from_last_check() {
     run_paused(async {
-        let (watched, mut other) = joined().await;
+        let (watched, mut peer) = connected_pair().await;
         assert!(watched.is_quiet());
         advance(SECOND).await;
         watched.note_if_empty();
-        let noted = Instant::now();
-        send(&watched, &mut other, b"x").await;
+        let checked_at = Instant::now();
+        send(&watched, &mut peer, b"x").await;
         advance(SECOND).await;
         watched.note_if_empty();
-        assert_eq!(read(&watched).await.1, noted);
+        assert_eq!(read(&watched).await.1, checked_at);
     });
 }
 
-/// Prevents a first request from gaining the time that it waited in the accept queue: the runtime is told
-/// only now of what came with the connection.
+/// A first request must not gain the time that it waited in the accept queue: the runtime is notified only
+/// now of bytes that came with the connection.
 #[test]
-fn what_came_with_a_connection_may_be_as_old() {
+fn first_bytes_may_be_as_old_as_connection() {
     run_paused(async {
-        let (watched, mut other) = joined().await;
-        other.write_all(b"x").expect("written");
+        let (watched, mut peer) = connected_pair().await;
+        peer.write_all(b"x").expect("could not write");
         while watched.is_quiet() {
             std::thread::yield_now();
         }
@@ -266,35 +270,35 @@
         let mut reading = pin!(read(&watched));
         assert!(std::future::poll_fn(|cx| Poll::Ready(reading.as_mut().poll(cx).is_pending())).await);
         advance(SECOND).await;
-        send(&watched, &mut other, b"y").await;
-        assert_eq!(reading.await.1, Instant::now(), "from here on the runtime would have told");
+        send(&watched, &mut peer, b"y").await;
+        assert_eq!(reading.await.1, Instant::now(), "the runtime would have been notified before");
     });
 }
 
-/// Prevents a read-ahead that grows with the number of pieces it came in: those past the limit count as older
-/// than they are.
+/// The read-ahead must not grow with the number of its segments. Those past the limit count as older than
+/// they are.
 #[test]
-fn pieces_past_the_limit_are_as_old_as_the_last_one_within() {
+fn segments_past_the_limit_share_one_time() {
     let now = Instant::now();
-    let at = |n: usize| now + SECOND * u32::try_from(n).expect("a few");
+    let time_of = |n: usize| now + SECOND * u32::try_from(n).expect("too many segments");
     let mut ahead = ReadAhead::default();
     for n in 0..2 * MAX_SEGMENTS {
-        ahead.push(b"xy", at(n));
+        ahead.push(b"xy", time_of(n));
     }
-    ahead.put_back(b"back", at(0));
-    ahead.put_back(b"", at(1));
+    ahead.put_back(b"back", time_of(0));
+    ahead.put_back(b"", time_of(1));
     assert_eq!((ahead.segments.len(), ahead.length), (MAX_SEGMENTS + 1, 4 * MAX_SEGMENTS + 4));
-    let mut next = |most: usize| {
-        let mut buf = vec![0; most];
+    let mut next = |max_len: usize| {
+        let mut buf = vec![0; max_len];
         let mut buf = ReadBuf::new(&mut buf);
         let sent_after = ahead.take(&mut buf);
         (buf.filled().to_vec(), sent_after)
     };
-    assert_eq!(next(3), (b"bac".to_vec(), Some(at(0))));
-    assert_eq!(next(3), (b"k".to_vec(), Some(at(0))));
+    assert_eq!(next(3), (b"bac".to_vec(), Some(time_of(0))));
+    assert_eq!(next(3), (b"k".to_vec(), Some(time_of(0))));
     for n in 0..MAX_SEGMENTS - 1 {
-        assert_eq!(next(1000), (b"xy".to_vec(), Some(at(n))));
+        assert_eq!(next(1000), (b"xy".to_vec(), Some(time_of(n))));
     }
-    assert_eq!(next(1000), (b"xy".repeat(MAX_SEGMENTS + 1), Some(at(MAX_SEGMENTS - 1))));
+    assert_eq!(next(1000), (b"xy".repeat(MAX_SEGMENTS + 1), Some(time_of(MAX_SEGMENTS - 1))));
     assert_eq!(next(1000), (Vec::new(), None));
 }
--- a/client-proxy/src/process_state/tests.rs
+++ b/client-proxy/src/process_state/tests.rs
@@ -4,126 +4,133 @@
 
 use super::*;
 
-/// The name of a stored file that ends so.
-fn stored(end: &str) -> String {
-    format!("{STATE_FILE_PREFIX}-{end}")
+/// The name of the state file with this ending.
+fn state_file_name(suffix: &str) -> String {
+    format!("{STATE_FILE_PREFIX}-{suffix}")
 }
 
 fn names() -> Names {
     Names { classes: vec!["look".to_owned()], ..Names::default() }
 }
 
-/// A folder of one test's own, empty.
-fn folder(name: &str) -> PathBuf {
+/// An empty folder for one test.
+fn empty_folder(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("process-state-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
-    fs::create_dir_all(&dir).expect("a folder");
+    fs::create_dir_all(&dir).expect("could not create the directory");
     dir
 }
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), test);
+    LocalSet::new().block_on(&runtime.expect("could not build the runtime"), test);
 }
 
-/// What a process that starts on this folder finds.
-async fn found(dir: &Path, name: &str, names: &Names) -> ProcessState {
-    let handover = ProcessState::open(Some(dir.to_owned()), name, names);
-    handover.read_at_start().await;
-    handover
+/// The state that a process finds when it starts on this folder.
+async fn open_and_read(dir: &Path, name: &str, names: &Names) -> ProcessState {
+    let process_state = ProcessState::open(Some(dir.to_owned()), name, names);
+    process_state.read_at_start().await;
+    process_state
 }
 
-async fn take_out(handover: &ProcessState, name: &'static str) -> Result<(), StateFileError> {
-    handover.change(move |state| assert!(state.disabled.insert(name.into()))).await
+async fn disable(process_state: &ProcessState, name: &'static str) -> Result<(), StateFileError> {
+    process_state.change(move |state| assert!(state.disabled.insert(name.into()))).await
 }
 
-/// Guards against two processes that undo each other's changes.
+/// Two processes must not undo the changes of each other.
 #[test]
-fn both_processes_see_what_either_has_changed() {
+fn both_processes_see_each_others_changes() {
     run(async {
-        let dir = folder("both");
-        let (old, new) = (found(&dir, "n/0", &names()).await, found(&dir, "n/0", &names()).await);
+        let dir = empty_folder("both");
+        let (old, new) =
+            (open_and_read(&dir, "n/0", &names()).await, open_and_read(&dir, "n/0", &names()).await);
         assert_eq!((old.refresh().await, new.refresh().await), (false, false));
-        take_out(&old, "s1").await.expect("written");
-        take_out(&new, "s2").await.expect("written");
+        disable(&old, "s1").await.expect("could not write the state file");
+        disable(&new, "s2").await.expect("could not write the state file");
         assert!(old.refresh().await && !old.refresh().await);
         assert_eq!(old.state(), new.state());
         assert_eq!(old.state().disabled.len(), 2);
-        old.change(|state| assert!(state.disabled.remove("s2"))).await.expect("written");
+        old.change(|state| assert!(state.disabled.remove("s2")))
+            .await
+            .expect("could not write the state file");
         assert!(new.refresh().await);
         assert_eq!(new.state().disabled, BTreeSet::from(["s1".to_owned()]));
     });
 }
 
-/// Guards against a start that fails, or a call that is lost, over a file that is no good.
+/// An invalid file must neither make the start fail nor make a command be lost.
 #[test]
-fn a_file_that_is_no_good_counts_as_none_and_is_replaced() {
+fn invalid_file_is_ignored_and_replaced() {
     run(async {
-        let dir = folder("spoilt");
-        let path = dir.join(stored("n0.json"));
-        for spoilt in
+        let dir = empty_folder("invalid");
+        let path = dir.join(state_file_name("n0.json"));
+        for invalid in
             ["", "{\"version\":1,\"out\":[\"s1\"", "{\"version\":2,\"out\":[\"s1\"]}", "\u{0}", "[]"]
         {
-            fs::write(&path, spoilt).expect("written");
-            let handover = found(&dir, "n0", &names()).await;
-            assert_eq!(handover.state(), State::default(), "{spoilt}");
-            take_out(&handover, "s3").await.expect("written");
-            let next = found(&dir, "n0", &names()).await;
-            assert_eq!(next.state().disabled, BTreeSet::from(["s3".to_owned()]), "{spoilt}");
+            fs::write(&path, invalid).expect("could not write");
+            let process_state = open_and_read(&dir, "n0", &names()).await;
+            assert_eq!(process_state.state(), State::default(), "{invalid}");
+            disable(&process_state, "s3").await.expect("could not write the state file");
+            let next = open_and_read(&dir, "n0", &names()).await;
+            assert_eq!(next.state().disabled, BTreeSet::from(["s3".to_owned()]), "{invalid}");
         }
-        fs::remove_file(&path).expect("removed");
-        fs::create_dir(&path).expect("no file at all");
-        let handover = found(&dir, "n0", &names()).await;
-        assert!(take_out(&handover, "s1").await.is_err());
-        assert_eq!(handover.state(), State::default(), "what could not be written has not happened");
+        fs::remove_file(&path).expect("could not remove the file");
+        fs::create_dir(&path).expect("could not create the directory");
+        let process_state = open_and_read(&dir, "n0", &names()).await;
+        assert!(disable(&process_state, "s1").await.is_err());
+        assert_eq!(
+            process_state.state(),
+            State::default(),
+            "a change that was not written must have no effect"
+        );
     });
 }
 
 #[test]
-fn without_a_folder_changes_last_as_long_as_the_process() {
+fn without_folder_changes_last_for_the_process() {
     run(async {
-        let handover = ProcessState::open(None, "n0", &names());
-        take_out(&handover, "s1").await.expect("kept");
-        assert!(handover.state().disabled.contains("s1") && !handover.refresh().await);
+        let process_state = ProcessState::open(None, "n0", &names());
+        disable(&process_state, "s1").await.expect("could not change the state");
+        assert!(process_state.state().disabled.contains("s1") && !process_state.refresh().await);
     });
 }
 
-/// Guards against what another client proxy has left, or one of another deployment: an endpoint that is
-/// out there, or its list, is nothing to this one. What an earlier version of the program left does not say
-/// whose it is.
+/// State of another client proxy, or of one in another deployment, must not apply here: neither its
+/// disabled endpoints nor its list. A file of an earlier version of the program does not name its owner and
+/// is accepted.
 #[test]
-fn what_belongs_to_another_is_not_believed() {
+fn state_of_another_client_proxy_is_ignored() {
     run(async {
-        let dir = folder("another");
+        let dir = empty_folder("another");
         let others = Names { classes: vec!["pay".to_owned()], ..Names::default() };
-        for (name, names_there) in [("n_0", names()), ("n/0", others)] {
-            let other = found(&dir, name, &names_there).await;
-            take_out(&other, "s1").await.expect("written");
-            let here = found(&dir, "n/0", &names()).await;
+        for (name, other_names) in [("n_0", names()), ("n/0", others)] {
+            let other = open_and_read(&dir, name, &other_names).await;
+            disable(&other, "s1").await.expect("could not write the state file");
+            let here = open_and_read(&dir, "n/0", &names()).await;
             assert_eq!(here.state(), State::default(), "{name}");
-            take_out(&here, "s3").await.expect("written");
-            let next = found(&dir, "n/0", &names()).await;
+            disable(&here, "s3").await.expect("could not write the state file");
+            let next = open_and_read(&dir, "n/0", &names()).await;
             assert_eq!(next.state().disabled, BTreeSet::from(["s3".to_owned()]), "{name}");
         }
-        fs::write(dir.join(stored("n_0.json")), "{\"version\":1,\"out\":[\"s1\"]}").expect("written");
-        let here = found(&dir, "n/0", &names()).await;
+        fs::write(dir.join(state_file_name("n_0.json")), "{\"version\":1,\"out\":[\"s1\"]}")
+            .expect("could not write");
+        let here = open_and_read(&dir, "n/0", &names()).await;
         assert_eq!(here.state().disabled, BTreeSet::from(["s1".to_owned()]));
     });
 }
 
-/// Guards against an event loop that stands still while another process, or the disk, keeps an operation
-/// waiting.
+/// The event loop must not block while another process, or the disk, delays an operation.
 #[test]
-fn a_lock_that_another_process_holds_stops_nothing_but_the_change() {
+fn lock_of_another_process_blocks_only_the_change() {
     run(async {
-        let dir = folder("lock");
-        let handover = found(&dir, "n0", &names()).await;
-        take_out(&handover, "s1").await.expect("written");
-        let lock = File::open(dir.join(stored("n0.lock"))).expect("the lock");
-        lock.lock().expect("held");
+        let dir = empty_folder("lock");
+        let process_state = open_and_read(&dir, "n0", &names()).await;
+        disable(&process_state, "s1").await.expect("could not write the state file");
+        let lock = File::open(dir.join(state_file_name("n0.lock"))).expect("could not open the lock file");
+        lock.lock().expect("could not lock the file");
         let order = RefCell::new(Vec::new());
         let change = async {
-            assert!(matches!(take_out(&handover, "s2").await, Err(StateFileError::Locked)));
+            assert!(matches!(disable(&process_state, "s2").await, Err(StateFileError::Locked)));
             order.borrow_mut().push("change");
         };
         let other = async {
@@ -132,103 +139,108 @@
         };
         tokio::join!(change, other);
         assert_eq!(*order.borrow(), ["another task", "change"]);
-        assert_eq!(handover.state().disabled, BTreeSet::from(["s1".to_owned()]));
+        assert_eq!(process_state.state().disabled, BTreeSet::from(["s1".to_owned()]));
         drop(lock);
-        take_out(&handover, "s2").await.expect("written");
+        disable(&process_state, "s2").await.expect("could not write the state file");
     });
 }
 
-/// Guards against a start, or a change, that takes a file that cannot be read for none and so loses what it
-/// holds.
+/// A start, or a change, that took an unreadable file for a missing one would lose its content.
 #[test]
-fn a_file_that_cannot_be_read_is_waited_for_and_not_replaced() {
+fn unreadable_file_is_awaited_and_not_replaced() {
     run(async {
-        let dir = folder("unreadable");
-        let path = dir.join(stored("n0.json"));
-        // Reading a link to itself fails, also for root.
-        std::os::unix::fs::symlink(&path, &path).expect("a link");
-        let handover = Rc::new(ProcessState::open(Some(dir.clone()), "n0", &names()));
-        let starting = Rc::clone(&handover);
+        let dir = empty_folder("unreadable");
+        let path = dir.join(state_file_name("n0.json"));
+        // Reading a symbolic link to itself fails, also for root.
+        std::os::unix::fs::symlink(&path, &path).expect("could not create the link");
+        let process_state = Rc::new(ProcessState::open(Some(dir.clone()), "n0", &names()));
+        let starting = Rc::clone(&process_state);
         let start = spawn_local(async move { starting.read_at_start().await });
         yield_now().await;
-        // Its read comes after the first one of the start.
-        assert!(!handover.refresh().await);
+        // This read comes after the first one of the start.
+        assert!(!process_state.refresh().await);
         yield_now().await;
-        assert!(!start.is_finished(), "it is not known what is there");
-        assert!(take_out(&handover, "s1").await.is_err());
-        assert!(path.is_symlink(), "it was replaced");
-        fs::write(dir.join("good"), "{\"version\":1,\"out\":[\"s3\"]}").expect("written");
-        fs::rename(dir.join("good"), &path).expect("it can be read again");
-        start.await.expect("no panic");
-        assert_eq!(handover.state().disabled, BTreeSet::from(["s3".to_owned()]));
+        assert!(!start.is_finished(), "the start must wait for the file");
+        assert!(disable(&process_state, "s1").await.is_err());
+        assert!(path.is_symlink(), "the unreadable file was replaced");
+        fs::write(dir.join("good"), "{\"version\":1,\"out\":[\"s3\"]}").expect("could not write");
+        fs::rename(dir.join("good"), &path).expect("could not replace the file");
+        start.await.expect("another task or thread panicked");
+        assert_eq!(process_state.state().disabled, BTreeSet::from(["s3".to_owned()]));
     });
 }
 
-/// Guards against a process killed in the middle of a write, whose half of a file is in the way or is
-/// believed.
+/// A process killed in the middle of a write leaves a partial file. It must neither be in the way nor be
+/// read.
 #[test]
-fn what_a_killed_process_had_begun_is_overwritten() {
+fn partial_write_of_killed_process_is_overwritten() {
     run(async {
-        let dir = folder("half");
-        let new = dir.join(stored("n0.new"));
-        fs::write(dir.join(stored("n0.json")), "{\"version\":1,\"out\":[\"s1\"]}").expect("written");
-        fs::write(dir.join(stored("n0.lock")), "").expect("written");
+        let dir = empty_folder("half");
+        let new = dir.join(state_file_name("n0.new"));
+        fs::write(dir.join(state_file_name("n0.json")), "{\"version\":1,\"out\":[\"s1\"]}")
+            .expect("could not write");
+        fs::write(dir.join(state_file_name("n0.lock")), "").expect("could not write");
         fs::write(&new, "{\"version\":1,\"out\":[\"s1\",\"s2\"],".to_owned() + &" ".repeat(9999))
-            .expect("written");
-        let next = found(&dir, "n0", &names()).await;
+            .expect("could not write");
+        let next = open_and_read(&dir, "n0", &names()).await;
         assert_eq!(next.state().disabled, BTreeSet::from(["s1".to_owned()]));
-        take_out(&next, "s3").await.expect("written");
+        disable(&next, "s3").await.expect("could not write the state file");
         assert!(!new.exists());
-        let newer = found(&dir, "n0", &names()).await;
+        let newer = open_and_read(&dir, "n0", &names()).await;
         assert_eq!(newer.state().disabled, BTreeSet::from(["s1".to_owned(), "s3".to_owned()]));
     });
 }
 
-/// Guards against a change that comes into force after its caller has been told that it does not.
+/// A change must not take effect after its caller was told that it does not.
 #[test]
-fn a_change_that_nobody_waits_for_any_more_changes_nothing() {
+fn abandoned_change_has_no_effect() {
     run(async {
-        let dir = folder("abandoned");
-        let handover = found(&dir, "n0", &names()).await;
-        take_out(&handover, "s1").await.expect("written");
-        let file = handover.file.clone().expect("a folder");
-        let verdict = CommitDecision::default();
-        assert!(verdict.abandon() && !verdict.abandon());
+        let dir = empty_folder("abandoned");
+        let process_state = open_and_read(&dir, "n0", &names()).await;
+        disable(&process_state, "s1").await.expect("could not write the state file");
+        let file = process_state.file.clone().expect("could not create the directory");
+        let decision = CommitDecision::default();
+        assert!(decision.abandon() && !decision.abandon());
         let change = |state: &mut State| assert!(state.disabled.insert("s2".into()));
-        let failed = file.change(handover.state(), change, &verdict).expect_err("not in force");
+        let failed =
+            file.change(process_state.state(), change, &decision).expect_err("the abandoned change was made");
         assert!(matches!(failed.error, StateFileError::TimedOut) && failed.rollback.is_none());
-        assert!(!dir.join(stored("n0.new")).exists());
-        assert_eq!(found(&dir, "n0", &names()).await.state().disabled, BTreeSet::from(["s1".to_owned()]));
+        assert!(!dir.join(state_file_name("n0.new")).exists());
+        assert_eq!(
+            open_and_read(&dir, "n0", &names()).await.state().disabled,
+            BTreeSet::from(["s1".to_owned()])
+        );
     });
 }
 
-/// Guards against space held by what could not be written, and against a word that is kept only here.
+/// A change that cannot be written must not occupy space on the disk, and must not take effect in this
+/// process alone.
 #[test]
-fn a_change_that_cannot_be_written_changes_nothing() {
+fn unwritable_change_has_no_effect() {
     run(async {
-        let dir = folder("unwritten");
-        let handover = found(&dir, "n0", &names()).await;
-        take_out(&handover, "s1").await.expect("written");
-        let new = dir.join(stored("n0.new"));
-        fs::create_dir(&new).expect("it cannot be opened for writing");
-        assert!(take_out(&handover, "s2").await.is_err());
-        assert_eq!(handover.state().disabled, BTreeSet::from(["s1".to_owned()]));
-        fs::remove_dir(&new).expect("good again");
-        take_out(&handover, "s3").await.expect("written");
-        let wanted = BTreeSet::from(["s1".to_owned(), "s3".to_owned()]);
-        assert_eq!(found(&dir, "n0", &names()).await.state().disabled, wanted);
+        let dir = empty_folder("unwritten");
+        let process_state = open_and_read(&dir, "n0", &names()).await;
+        disable(&process_state, "s1").await.expect("could not write the state file");
+        let new = dir.join(state_file_name("n0.new"));
+        fs::create_dir(&new).expect("could not create the directory");
+        assert!(disable(&process_state, "s2").await.is_err());
+        assert_eq!(process_state.state().disabled, BTreeSet::from(["s1".to_owned()]));
+        fs::remove_dir(&new).expect("could not remove the directory");
+        disable(&process_state, "s3").await.expect("could not write the state file");
+        let expected = BTreeSet::from(["s1".to_owned(), "s3".to_owned()]);
+        assert_eq!(open_and_read(&dir, "n0", &names()).await.state().disabled, expected);
     });
 }
 
-/// Guards against an operator's word to the other process that comes in with a change of this one and is not
-/// followed.
+/// A change of the other process that is read together with one of this process must be applied too.
 #[test]
-fn what_comes_in_with_a_change_of_ones_own_is_news() {
+fn change_of_other_process_read_with_own_is_reported() {
     run(async {
-        let dir = folder("own");
-        let (old, new) = (found(&dir, "n0", &names()).await, found(&dir, "n0", &names()).await);
-        take_out(&old, "s1").await.expect("written");
-        new.register_process().await.expect("written");
+        let dir = empty_folder("own");
+        let (old, new) =
+            (open_and_read(&dir, "n0", &names()).await, open_and_read(&dir, "n0", &names()).await);
+        disable(&old, "s1").await.expect("could not write the state file");
+        new.register_process().await.expect("could not write the state file");
         assert_eq!(new.state().disabled, BTreeSet::from(["s1".to_owned()]));
         assert!(new.refresh().await && !new.refresh().await);
     });
--- a/client-proxy/src/request_end/tests.rs
+++ b/client-proxy/src/request_end/tests.rs
@@ -2,33 +2,33 @@
 
 use super::*;
 
-/// How long `end` was waited for, and whether it was reached.
-async fn waited(end: &RequestEnd) -> (Duration, bool) {
-    let begun = Instant::now();
+/// How long the end of the request body was awaited, and whether it was reached.
+async fn wait_for(end: &RequestEnd) -> (Duration, bool) {
+    let started = Instant::now();
     let is_reached = end.wait_until_reached(Duration::from_secs(1)).await;
-    (begun.elapsed(), is_reached)
+    (started.elapsed(), is_reached)
 }
 
-/// Prevents requests from being lost behind a body whose last byte an attempt has not taken yet when its
-/// connection has, and a connection from being kept for a body that never ends.
+/// The connection has received the last byte of a body that the attempt has not taken yet. Requests behind
+/// that body must not be lost, and the connection must not be kept for a body that never ends.
 #[test]
-fn the_end_of_a_body_that_somebody_still_reads_is_waited_for() {
-    const SOON: Duration = Duration::from_millis(100);
+fn end_of_a_body_still_read_is_awaited() {
+    const DELAY: Duration = Duration::from_millis(100);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    runtime.expect("a runtime").block_on(async {
-        let cases = [("reached", SOON), ("forgotten", SOON), ("neither", Duration::from_secs(1))];
-        for (what, expected) in cases {
-            let (end, is_reached) = (RequestEnd::default(), what == "reached");
-            let later = async {
-                sleep(SOON).await;
-                match what {
+    runtime.expect("could not build the runtime").block_on(async {
+        let cases = [("reached", DELAY), ("forgotten", DELAY), ("neither", Duration::from_secs(1))];
+        for (case, expected) in cases {
+            let (end, is_reached) = (RequestEnd::default(), case == "reached");
+            let change = async {
+                sleep(DELAY).await;
+                match case {
                     "reached" => end.mark_reached(),
                     "forgotten" => end.abandon(),
                     _ => {}
                 }
             };
-            assert_eq!(tokio::join!(waited(&end), later).0, (expected, is_reached), "{what}");
-            assert_eq!(waited(&end).await, (Duration::ZERO, is_reached), "{what}");
+            assert_eq!(tokio::join!(wait_for(&end), change).0, (expected, is_reached), "{case}");
+            assert_eq!(wait_for(&end).await, (Duration::ZERO, is_reached), "{case}");
         }
     });
 }
--- a/client-proxy/src/socket_budget/tests.rs
+++ b/client-proxy/src/socket_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_side_of_the_budget_keeps_a_part() {
+fn clients_and_upstreams_keep_reserved_sockets() {
     let sockets = SocketBudget::new(RESERVED_DESCRIPTORS + 9, 1);
     let clients: Vec<SocketPermit> = std::iter::from_fn(|| sockets.try_acquire(Side::Client)).collect();
     let endpoints: Vec<SocketPermit> = std::iter::from_fn(|| sockets.try_acquire(Side::Upstream)).collect();
@@ -10,19 +10,19 @@
     assert!(sockets.try_acquire(Side::Client).is_some() && !sockets.is_full());
 }
 
-/// Guards against two processes that together go over the limit while one takes over from the other.
+/// While one process takes over from another, the two together must stay within the limit.
 #[test]
 fn two_processes_share_the_limit() {
     let sockets = SocketBudget::new(2 * (RESERVED_DESCRIPTORS + 1 + 12), 1);
-    let held: Vec<SocketPermit> = (0..20).filter_map(|_| sockets.try_acquire(Side::Client)).collect();
-    assert_eq!(held.len(), 20);
+    let permits: Vec<SocketPermit> = (0..20).filter_map(|_| sockets.try_acquire(Side::Client)).collect();
+    assert_eq!(permits.len(), 20);
     sockets.split_among(2);
     assert!(sockets.is_exceeded() && sockets.try_acquire(Side::Upstream).is_none());
-    drop(held);
-    let held: Vec<SocketPermit> = (0..40)
+    drop(permits);
+    let permits: Vec<SocketPermit> = (0..40)
         .filter_map(|n| sockets.try_acquire(if n % 2 == 0 { Side::Client } else { Side::Upstream }))
         .collect();
-    assert_eq!(held.len(), 12);
+    assert_eq!(permits.len(), 12);
     sockets.split_among(1);
     assert!(sockets.try_acquire(Side::Client).is_some());
 }
--- a/client-proxy/tests/common/ending.rs
+++ b/client-proxy/tests/common/ending.rs
@@ -46,8 +46,8 @@
     post("pay", remaining_ms, "", "")
 }
 
-/// A client proxy that has been sent SIGTERM, with one request in flight that is answered only at the last
-/// call, just before the earliest SIGKILL.
+/// A client proxy that has been sent SIGTERM, with one request in flight that is answered only just before
+/// the earliest SIGKILL.
 pub struct TerminatingProxy {
     pub proxy: Proxy,
     pub hung: Client,
@@ -72,9 +72,9 @@
     }
 
     /// Sends SIGKILL at the earliest time allowed, but not before the process has had the processor for all
-    /// responses of the last call: the speed of the machine must not decide the result of a test.
+    /// responses that precede it: the speed of the machine must not decide the result of a test.
     pub fn kill(mut self) {
-        assert_eq!(self.hung.read().expect("no response at the last call").status(), 502);
+        assert_eq!(self.hung.read().expect("no response before the earliest SIGKILL").status(), 502);
         wait_until_sleeping(self.proxy.child.id());
         self.sleep_until(EARLIEST_KILL);
         self.proxy.child.kill().expect("could not kill the process");
--- a/client-proxy/tests/shutdown.rs
+++ b/client-proxy/tests/shutdown.rs
@@ -57,20 +57,21 @@
     assert!(proxy.child.wait().expect("could not wait for the process").success());
 }
 
-/// Clients that send the next request as soon as they have a response could keep the process busy up to the
-/// last call, at which all pending requests get a final response. Each such connection is closed between
-/// two requests soon after new connections are no longer accepted, and each forwarded request is answered.
+/// Clients that send the next request as soon as they have a response could keep the process busy until
+/// SIGKILL is imminent, when all pending requests get a final response. Each such connection is closed
+/// between two requests soon after new connections are no longer accepted, and each forwarded request is
+/// answered.
 #[test]
 fn busy_clients_are_closed_between_requests() {
     /// Bound on the responses after new connections are refused, as a share of those in the half second
-    /// before. Without the close there would be six times as many up to the last call. A few are expected
-    /// before the program looks for input behind a response, more if it is delayed there.
+    /// before. Without the close there would be six times as many until SIGKILL is imminent. A few are
+    /// expected before the program looks for input behind a response, more if it is delayed there.
     const RESPONSES_AFTER_SHARE: f64 = 0.25;
     let (mut proxy, upstream, _discovery) = with_deadline(10_000, |n| match n {
         0 => Reply::Stall,
         _ => Reply::Send(http_response("200 OK", "", "done")),
     });
-    // Answered only at the last call.
+    // Answered only when SIGKILL is imminent.
     let mut hung = proxy.client();
     hung.write(&post("pay", 10_000, "", ""));
     upstream.next_request();
@@ -111,7 +112,7 @@
     let peeked = hung.stream.peek(&mut [0]);
     assert!(
         matches!(&peeked, Err(error) if error.kind() == ErrorKind::WouldBlock),
-        "a response came before the last call: {peeked:?}"
+        "a response came before SIGKILL was imminent: {peeked:?}"
     );
     let answered = |after: usize| results.iter().map(|(_, answered)| answered[after]).sum::<usize>() as f64;
     assert!(
@@ -141,9 +142,9 @@
 }
 
 /// The connection must not be closed silently over a partial request that has been read. A client that is
-/// in the middle of the head or body at the last call gets a rejection or a 408.
+/// in the middle of the head or body when SIGKILL is imminent gets a rejection or a 408.
 #[test]
-fn partial_request_at_last_call_is_answered() {
+fn partial_request_before_kill_is_answered() {
     let (mut proxy, _upstream, _discovery) = with_deadline(20, |_| Reply::Stall);
     let request = post("pay", 2_000, "", "abc");
     let parts = [10, 60, request.len() - 3, request.len() - 1];
