--- a/balancer/src/interface/event.rs
+++ b/balancer/src/interface/event.rs
@@ -135,7 +135,7 @@
     pub outcome: Outcome,
     /// Time since the attempt was sent.
     pub latency: Millis,
-    /// The client already has its final response, from this attempt or an earlier one.
+    /// The client has its final response, from this attempt or an earlier one, or it has disconnected.
     pub request_ended: bool,
     /// The load that the endpoint reported with its response.
     pub load_report: LoadReport,
--- a/balancer/src/interface/validation.rs
+++ b/balancer/src/interface/validation.rs
@@ -51,7 +51,8 @@
         Ok(())
     }
 
-    /// All numeric settings with the paths of their fields; none may be negative or infinite.
+    /// All numeric settings, which must be finite and not negative, with their paths. The paths are part of
+    /// error messages and do not follow the names of the fields.
     fn numeric_fields(&self) -> Vec<(String, f64)> {
         let mut fields = vec![
             ("tick".to_owned(), self.timer_resolution),
--- a/balancer/src/logic/dispatch.rs
+++ b/balancer/src/logic/dispatch.rs
@@ -79,6 +79,7 @@
         self.warmth(endpoint) >= 1.0 || (slow_start.in_own_subset && has_budget())
     }
 
+    /// Whether an attempt at the endpoint has no second effect if `earlier` was executed.
     fn is_retry_harmless(&self, request: &Request, earlier: &Attempt, index: usize) -> bool {
         let next = &self.endpoints[index].entry;
         match self.settings.classes[request.class].effect {
@@ -180,6 +181,7 @@
         actions.extend(cancelled.map(|(attempt, _)| Action::Cancel { id, attempt }));
     }
 
+    /// Registers a new request, then sheds or dispatches it.
     pub(super) fn request_arrived(&mut self, new: &NewRequest, actions: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(new.metadata.class) else {
             return actions.push(Action::Reject { id: new.id, retry_after: None });
@@ -305,6 +307,7 @@
         }
     }
 
+    /// Once a response is streamed to the client, the other attempts of the request are cancelled.
     pub(super) fn response_started(&mut self, id: RequestId, attempt: u32, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !request.ended {
@@ -313,6 +316,7 @@
         }
     }
 
+    /// Records the end of an attempt; retries or finishes the request if it still awaits a response.
     pub(super) fn attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let (id, outcome) = (end.id, end.outcome);
         let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent);
--- a/balancer/src/logic/endpoint_list.rs
+++ b/balancer/src/logic/endpoint_list.rs
@@ -27,6 +27,7 @@
 const MAX_WATCH_BACKOFF: Millis = 800.0;
 
 impl Balancer {
+    /// Applies an update of the endpoint list, or sets a timer for the next poll after a failure.
     pub(super) fn apply_update(&mut self, update: EndpointUpdate, actions: &mut Vec<Action>) {
         let is_incremental = matches!(update, EndpointUpdate::Changes(_));
         let is_cached = matches!(update, EndpointUpdate::CachedSnapshot(_));
@@ -164,6 +165,7 @@
         }
     }
 
+    /// Rebuilds the groups from the endpoints that are up, and reduces them to the subset of this balancer.
     pub(super) fn rebuild_groups(&mut self) {
         self.groups.iter_mut().for_each(Vec::clear);
         self.zones.iter_mut().for_each(|zone| zone.endpoint_count = 0);
--- a/balancer/src/logic/locality.rs
+++ b/balancer/src/logic/locality.rs
@@ -15,9 +15,10 @@
 /// show the effect of a change late, and with high gains the load of a nearly full zone would oscillate.
 const SPILLOVER_PROPORTIONAL_GAIN: f64 = 0.5;
 const SPILLOVER_INTEGRAL_GAIN: f64 = 0.5;
-/// A zone is ejected when this many of its endpoints failed since its last response: so many do not fail
-/// independently at the same time. An attempt without a response is a failure after MAX_RELATIVE_LATENCY
-/// times its expected latency, but not before ZONE_RESPONSE_TIMEOUT, because processes may pause.
+/// A zone is ejected when this many of its endpoints failed since its last response: that many do not fail
+/// independently of each other at the same time. An attempt without a response is a failure after
+/// MAX_RELATIVE_LATENCY times its expected latency, but not before ZONE_RESPONSE_TIMEOUT, because processes
+/// may pause.
 const MIN_FAILED_ENDPOINTS: usize = 3;
 const ZONE_RESPONSE_TIMEOUT: Millis = 150.0;
 /// Base ejection time of a zone.
@@ -158,6 +159,8 @@
         }
     }
 
+    /// Ejects a zone that fails, ends its ejection once endpoints respond, or continues the ramp of its
+    /// weight.
     fn evaluate_zone(
         &mut self,
         index: usize,
