--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -1,6 +1,6 @@
-//! Hollow client proxies: the program's own control code, the follower of discovery and the decision module, driven as
-//! `proxy/src/discovery.rs` drives them, without clients and order servers. Many fit into one process, on real sockets
-//! and in virtual time alike.
+//! Control-only client proxies: the discovery subscription and the balancer of the real program, driven as
+//! `client-proxy/src/discovery.rs` drives them, but without clients and order servers. Many fit into one process, on
+//! real sockets and in virtual time alike.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,22 +22,23 @@
 use super::{Options, Point, Run, ScaleError};
 use crate::chance;
 
-/// As in the program: after an answer that ought to have waited and did not, and after one that is doubtful.
-const BREATH: Millis = 50.0;
-/// The kinds of machines.
+/// Delay before the next poll, as in the client proxy, after an empty response to a watch that did not wait, and
+/// after a rejected response.
+const REPOLL_DELAY_MS: Millis = 50.0;
+/// The number of endpoint kinds.
 const KINDS: u32 = 2;
 
-/// Where the order servers are; nobody connects to them.
+/// Locations of the endpoints. Nothing connects to them.
 #[derive(Default)]
-pub struct Held(RefCell<HashMap<EndpointId, EndpointLocation>>);
+pub struct LocationTable(RefCell<HashMap<EndpointId, EndpointLocation>>);
 
-impl EndpointLocations for Held {
+impl EndpointLocations for LocationTable {
     fn endpoint_ids(&self) -> Vec<EndpointId> {
         self.0.borrow().keys().copied().collect()
     }
 
-    fn set_location(&self, endpoint: EndpointId, place: EndpointLocation) {
-        self.0.borrow_mut().insert(endpoint, place);
+    fn set_location(&self, endpoint: EndpointId, location: EndpointLocation) {
+        self.0.borrow_mut().insert(endpoint, location);
     }
 
     fn remove(&self, endpoint: EndpointId) {
@@ -45,165 +46,173 @@
     }
 }
 
-/// What has to be done for a hollow client proxy.
+/// What the caller has to do next for a control-only client proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Todo {
-    /// Make [`Hollow::call`] after so long.
-    Call {
-        /// 0 for at once.
-        after: Millis,
+pub enum NextStep {
+    /// Send the poll that [`ControlOnlyProxy::next_poll`] returns.
+    Poll {
+        /// Zero: immediately.
+        delay_ms: Millis,
     },
-    /// Wake it with [`Hollow::woken`].
+    /// Call [`ControlOnlyProxy::on_timer`].
     Timer {
-        /// When, by its clock.
+        /// When, on the client proxy's clock.
         at: Millis,
-        /// To be handed back.
+        /// The token to pass to it.
         token: u64,
     },
 }
 
-/// Whether the decisions get their regular look at everything. Where many hollow client proxies share a core it is left
-/// out: it changes nothing about when they call, and what it costs is measured on its own.
+/// Whether the balancer's periodic evaluation runs. Where many control-only client proxies share a core it is
+/// disabled: it does not influence when they poll, and its cost is measured separately.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Looks {
+pub enum PeriodicEvaluation {
     /// Ten times a second.
-    Kept,
+    Enabled,
     /// Never.
-    LeftOut,
+    Disabled,
 }
 
-/// One of them.
-pub struct Hollow {
+/// A client proxy without a data path: the discovery subscription and the balancer only.
+pub struct ControlOnlyProxy {
     balancer: Balancer,
-    follower: Subscription<Held>,
-    looks: Looks,
-    /// The timer of the next look.
-    next_look: Option<u64>,
+    subscription: Subscription<LocationTable>,
+    periodic_evaluation: PeriodicEvaluation,
+    /// The timer token of the next periodic evaluation.
+    evaluation_token: Option<u64>,
 }
 
-impl Hollow {
-    /// Knows nothing yet. Of `fleet` client proxies it is number `me`.
+impl ControlOnlyProxy {
+    /// Creates number `me` of `fleet` client proxies, without an endpoint list.
     ///
     /// # Errors
-    /// Where the settings do not fit.
-    pub fn new(me: u32, fleet: u32, seed: u64, looks: Looks) -> Result<Hollow, ScaleError> {
+    /// If the balancer rejects the settings.
+    pub fn new(
+        me: u32,
+        fleet: u32,
+        seed: u64,
+        periodic_evaluation: PeriodicEvaluation,
+    ) -> Result<ControlOnlyProxy, ScaleError> {
         let balancer = Balancer::new(settings(me, fleet)?, seed);
         let balancer = balancer.map_err(|error| ScaleError::SetUp(error.to_string()))?;
         let reader = ListReader {
-            zones: names("z", REGIONS.len() as u32),
-            kinds: names("k", KINDS),
+            zones: numbered_names("z", REGIONS.len() as u32),
+            kinds: numbered_names("k", KINDS),
             endpoints: Rc::default(),
             ids: Rc::<EndpointIds>::default(),
             raw_entries: None,
         };
-        Ok(Hollow {
+        Ok(ControlOnlyProxy {
             balancer,
-            follower: Subscription::new(PollTiming::QUEUED, reader),
-            looks,
-            next_look: None,
+            subscription: Subscription::new(PollTiming::QUEUED, reader),
+            periodic_evaluation,
+            evaluation_token: None,
         })
     }
 
-    /// Begins, with what is known from before, if anything. A list from before is built on, as the program does where lists
-    /// are asked for: it then only asks for what is new.
-    pub fn start(&mut self, now: Millis, known: Option<EndpointList>, todo: &mut Vec<Todo>) {
-        let entries = known.map(|list| self.follower.restore(list, true, now)).unwrap_or_default();
-        self.feed(now, Event::EndpointUpdate(EndpointUpdate::CachedSnapshot(entries)), todo);
+    /// Starts, from a cached list if there is one. As in the client proxy, the first poll then requests only the
+    /// changes since that list.
+    pub fn start(&mut self, now: Millis, cached: Option<EndpointList>, next_steps: &mut Vec<NextStep>) {
+        let entries =
+            cached.map(|cached_list| self.subscription.restore(cached_list, true, now)).unwrap_or_default();
+        self.handle_event(now, Event::EndpointUpdate(EndpointUpdate::CachedSnapshot(entries)), next_steps);
     }
 
-    /// The call that is to be made next.
-    pub fn call(&self) -> PollRequest {
-        self.follower.next_poll()
+    /// Returns the next poll to send.
+    pub fn next_poll(&self) -> PollRequest {
+        self.subscription.next_poll()
     }
 
-    /// The body of an answer came whole, to a call that was made at `asked`. Gives the version that is held by now.
+    /// Handles the complete body of the response to a poll that was sent at `sent_at`. Returns the version of the
+    /// current list, or `None` if the response was rejected.
     ///
     /// # Errors
-    /// Where it is no list; then the call has failed, and what follows from that is in `todo` already.
-    pub fn answered(
+    /// If the body is not a valid list. The poll counts as failed, and `next_steps` already has what follows.
+    pub fn on_response(
         &mut self,
         now: Millis,
-        asked: Millis,
+        sent_at: Millis,
         body: &[u8],
-        todo: &mut Vec<Todo>,
+        next_steps: &mut Vec<NextStep>,
     ) -> Result<Option<u64>, EndpointListError> {
-        match self.follower.on_response(body, ReceivedAt { local: now, discovery_unix_ms: None }) {
-            Ok(ListResponse::Applied { index, update: news, empty_watch: in_vain }) => {
-                self.feed(now, Event::EndpointUpdate(news), todo);
-                let after = if in_vain && now - asked < BREATH { BREATH } else { 0.0 };
-                todo.push(Todo::Call { after });
+        match self.subscription.on_response(body, ReceivedAt { local: now, discovery_unix_ms: None }) {
+            Ok(ListResponse::Applied { index, update, empty_watch }) => {
+                self.handle_event(now, Event::EndpointUpdate(update), next_steps);
+                let delay_ms =
+                    if empty_watch && now - sent_at < REPOLL_DELAY_MS { REPOLL_DELAY_MS } else { 0.0 };
+                next_steps.push(NextStep::Poll { delay_ms });
                 Ok(Some(index))
             }
             Ok(ListResponse::Rejected { .. }) => {
-                todo.push(Todo::Call { after: BREATH });
+                next_steps.push(NextStep::Poll { delay_ms: REPOLL_DELAY_MS });
                 Ok(None)
             }
             Err(error) => {
-                self.failed(now, true, todo);
+                self.on_failure(now, true, next_steps);
                 Err(error)
             }
         }
     }
 
-    /// The call failed, or was given up.
-    pub fn failed(&mut self, now: Millis, spoilt: bool, todo: &mut Vec<Todo>) {
-        // How long to pause is for the decisions: lists are asked for here.
-        let _ = self.follower.on_failure(spoilt);
-        self.feed(now, Event::EndpointUpdate(EndpointUpdate::Failed), todo);
+    /// Handles a poll that failed or timed out.
+    pub fn on_failure(&mut self, now: Millis, invalid_response: bool, next_steps: &mut Vec<NextStep>) {
+        // The subscription's own delay is unused: in subscribe mode the balancer sets the backoff.
+        let _ = self.subscription.on_failure(invalid_response);
+        self.handle_event(now, Event::EndpointUpdate(EndpointUpdate::Failed), next_steps);
     }
 
-    /// A timer is due.
-    pub fn woken(&mut self, now: Millis, token: u64, todo: &mut Vec<Todo>) {
-        self.feed(now, Event::TimerFired { token }, todo);
+    /// Handles a timer that has fired.
+    pub fn on_timer(&mut self, now: Millis, token: u64, next_steps: &mut Vec<NextStep>) {
+        self.handle_event(now, Event::TimerFired { token }, next_steps);
     }
 
-    fn feed(&mut self, now: Millis, event: Event, todo: &mut Vec<Todo>) {
-        // The first event arms the regular look, and each look the next one.
-        let looked = match (&event, self.next_look) {
+    fn handle_event(&mut self, now: Millis, event: Event, next_steps: &mut Vec<NextStep>) {
+        // The first event schedules the periodic evaluation, and each evaluation the next one.
+        let is_evaluation = match (&event, self.evaluation_token) {
             (_, None) => true,
-            (Event::TimerFired { token }, Some(look)) => *token == look,
+            (Event::TimerFired { token }, Some(evaluation)) => *token == evaluation,
             _ => false,
         };
         let mut actions = Vec::new();
         self.balancer.handle(now, event, &mut actions);
-        let mut arms = looked;
+        let mut schedules_evaluation = is_evaluation;
         for action in actions {
             match action {
-                Action::Watch => todo.push(Todo::Call { after: 0.0 }),
+                Action::Watch => next_steps.push(NextStep::Poll { delay_ms: 0.0 }),
                 Action::Fetch => {
-                    self.follower.request_full_snapshot();
-                    todo.push(Todo::Call { after: 0.0 });
+                    self.subscription.request_full_snapshot();
+                    next_steps.push(NextStep::Poll { delay_ms: 0.0 });
                 }
                 Action::SetTimer { at, token } => {
-                    if std::mem::take(&mut arms) {
-                        self.next_look = Some(token);
-                        if self.looks == Looks::LeftOut {
+                    if std::mem::take(&mut schedules_evaluation) {
+                        self.evaluation_token = Some(token);
+                        if self.periodic_evaluation == PeriodicEvaluation::Disabled {
                             continue;
                         }
                     }
-                    todo.push(Todo::Timer { at, token });
+                    next_steps.push(NextStep::Timer { at, token });
                 }
-                Action::ReleaseEndpointId { endpoint } => self.follower.reader().ids.release(endpoint),
-                // Nobody sends anything, so there is nothing else to do.
+                Action::ReleaseEndpointId { endpoint } => self.subscription.reader().ids.release(endpoint),
+                // There are no requests, so no other action applies.
                 _ => {}
             }
         }
     }
 }
 
-fn names(letter: &str, count: u32) -> Vec<String> {
+fn numbered_names(letter: &str, count: u32) -> Vec<String> {
     (0..count).map(|n| format!("{letter}{n}")).collect()
 }
 
-/// As the testbed's plays have them (`testbed/src/fleet.rs`), with the zones and regions of the supposed fleet, and lists
-/// that are asked for.
+/// The settings of the testbed's scenarios (`testbed/src/fleet.rs`), with the zones and regions of the modelled fleet
+/// and with discovery in subscribe mode.
 ///
 /// # Errors
-/// Where they do not fit.
+/// If the wire settings cannot be parsed.
 pub fn settings(me: u32, fleet: u32) -> Result<Settings, ScaleError> {
-    let class = |name: &str, aim: f64, semantics: &str, points: f64| {
-        json!({"name": name, "aim": aim, "hardLimit": 5.0 * aim, "semantics": semantics, "points": points,
-               "keyScope": "zone", "keyTtl": 2000.0})
+    let class = |name: &str, objective_ms: f64, semantics: &str, weight: f64| {
+        json!({"name": name, "aim": objective_ms, "hardLimit": 5.0 * objective_ms, "semantics": semantics,
+               "points": weight, "keyScope": "zone", "keyTtl": 2000.0})
     };
     let zone = me as usize % REGIONS.len();
     let wire = json!({
@@ -212,7 +221,7 @@
                     class("book", 300.0, "keyed", 2.0)],
         "contract": {"cold": 8000.0, "coldFrom": 0.3, "drainGrace": 1500.0, "fall": 1500.0, "fallMultiple": 3.0,
                      "graceToAnswer": 16.0},
-        "kinds": names("k", KINDS), "zones": names("z", REGIONS.len() as u32), "zone": zone,
+        "kinds": numbered_names("k", KINDS), "zones": numbered_names("z", REGIONS.len() as u32), "zone": zone,
         "limits": {"attemptsCap": 3, "cancelling": true, "connIdle": 10000.0, "dialTimeout": 100.0,
                    "maxRetryAfter": 1200.0, "retryAfter": true, "secondCopies": false},
         "report": {"fields": ["utilization"], "how": "answers"}
@@ -224,8 +233,8 @@
     Ok(settings)
 }
 
-/// An entry of the list for the endpoint of that number, as discovery writes it.
-pub fn entry(endpoint: u32, since_ms: u64, status: &str) -> String {
+/// The list entry of an endpoint, as discovery encodes it.
+pub fn entry_json(endpoint: u32, since_ms: u64, status: &str) -> String {
     let [_, high, mid, low] = endpoint.to_be_bytes();
     let (zone, kind) = (endpoint as usize % REGIONS.len(), endpoint / REGIONS.len() as u32 % KINDS);
     format!(
@@ -234,48 +243,51 @@
     )
 }
 
-/// An answer of discovery.
-pub fn list(index: u64, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#, entries.join(","))
+/// The body of a discovery response.
+pub fn list_json(index: u64, full_snapshot: bool, entries: &[String]) -> String {
+    format!(r#"{{"index":{index},"snapshot":{full_snapshot},"endpoints":[{}]}}"#, entries.join(","))
 }
 
 /// CPU time of this thread, in microseconds.
-pub fn cpu_us() -> f64 {
+pub fn thread_cpu_us() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1e6 + time.tv_nsec as f64 / 1e3
 }
 
-/// What the process holds of the machine's memory, in KiB.
+/// Resident memory of this process, in KiB.
 ///
 /// # Errors
-/// Where the system does not say.
-pub fn resident_kb() -> Result<f64, ScaleError> {
+/// If `/proc/self/status` cannot be read or has no `VmRSS`.
+pub fn resident_memory_kb() -> Result<f64, ScaleError> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let number = line.and_then(|line| line.trim().strip_suffix(" kB")?.trim().parse().ok());
-    number.ok_or_else(|| ScaleError::SetUp("/proc/self/status: no VmRSS in kB".to_owned()))
+    number.ok_or_else(|| ScaleError::SetUp("/proc/self/status has no VmRSS in kB".to_owned()))
 }
 
-/// Endpoints held, from a small client proxy to one that is told the whole fleet; 9,350 are the 20 largest services.
+/// Endpoints in the list, from a small client proxy to one that receives the whole fleet; 9,350 are the 20 largest
+/// services.
 const AXIS: [u32; 7] = [200, 340, 1_000, 3_400, 9_350, 18_000, ENDPOINTS];
-/// Endpoints at each point, over all hollow client proxies there: their memory is told by the difference.
-const TOGETHER: u32 = 108_000;
+/// Endpoints at each point, over all client proxies there. The memory of one is the growth of the process divided by
+/// their number.
+const TOTAL_ENDPOINTS: u32 = 108_000;
 const CHANGES: u32 = 200;
-const WHOLE_LISTS: u32 = 5;
-const LOOKS: u32 = 200;
-/// Since when the endpoints run, about.
-const LONG_AGO: u64 = 1_700_000_000_000;
+const FULL_SNAPSHOTS: u32 = 5;
+const EVALUATIONS: u32 = 200;
+/// Start time of the endpoints' processes.
+const START_UNIX_MS: u64 = 1_700_000_000_000;
 
 /// The run `hollow-endpoints`.
 ///
 /// # Errors
-/// Where the system says nothing of memory, or a list is not taken.
-pub fn make(options: &Options) -> Result<Run, ScaleError> {
+/// If the resident memory cannot be read, or a list is rejected.
+pub fn run(options: &Options) -> Result<Run, ScaleError> {
     let mut rng = chance::stream(options.seed, "hollow-endpoints");
-    // Guards against memory that is given back at one point and taken again at the next, unseen: all stay to the end.
-    let mut all = Vec::new();
+    // All client proxies live until the end: memory freed at one point would be reused at the next, which would then
+    // show no growth.
+    let mut proxies = Vec::new();
     let points: Result<Vec<Point>, ScaleError> =
-        AXIS.into_iter().map(|endpoints| point(endpoints, &mut rng, &mut all)).collect();
+        AXIS.into_iter().map(|endpoints| point(endpoints, &mut rng, &mut proxies)).collect();
     let fixed = [
         (
             "how",
@@ -283,9 +295,9 @@
         ),
         ("what it leaves out", "connections, requests, sockets, and the runtime".to_owned()),
         ("settings", "3 classes, 2 kinds, 9 zones in 4 regions, 36,000 balancers, subscribe".to_owned()),
-        ("bytes of an entry", entry(ENDPOINTS - 1, LONG_AGO, "SERVING").len().to_string()),
-        ("hollow client proxies at a point", format!("{TOGETHER} / endpoints, at least 3")),
-        ("changes, whole lists and looks at a point", format!("{CHANGES}, {WHOLE_LISTS}, {LOOKS}")),
+        ("bytes of an entry", entry_json(ENDPOINTS - 1, START_UNIX_MS, "SERVING").len().to_string()),
+        ("hollow client proxies at a point", format!("{TOTAL_ENDPOINTS} / endpoints, at least 3")),
+        ("changes, whole lists and looks at a point", format!("{CHANGES}, {FULL_SNAPSHOTS}, {EVALUATIONS}")),
         ("a change", "one endpoint whose process is another one".to_owned()),
     ];
     Ok(Run {
@@ -298,69 +310,73 @@
     })
 }
 
-fn point(endpoints: u32, rng: &mut Pcg32, all: &mut Vec<Hollow>) -> Result<Point, ScaleError> {
+fn point(endpoints: u32, rng: &mut Pcg32, proxies: &mut Vec<ControlOnlyProxy>) -> Result<Point, ScaleError> {
     let mut numbers: Vec<u32> = (0..ENDPOINTS).collect();
     for n in 0..endpoints as usize {
         let other = n + (chance::unit(rng) * (numbers.len() - n) as f64) as usize;
         numbers.swap(n, other);
     }
     numbers.truncate(endpoints as usize);
-    let entries: Vec<String> = numbers.iter().map(|&endpoint| entry(endpoint, LONG_AGO, "SERVING")).collect();
-    let whole = list(1, true, &entries);
-    let mut holding = || -> Result<(Hollow, Vec<Todo>), ScaleError> {
-        let mut hollow = Hollow::new(rng.next_u32(), ENDPOINTS, rng.next_u64(), Looks::Kept)?;
-        let mut todo = Vec::new();
-        hollow.start(0.0, None, &mut todo);
-        take(&mut hollow, 0.0, &whole, &mut todo)?;
-        Ok((hollow, todo))
+    let entries: Vec<String> =
+        numbers.iter().map(|&endpoint| entry_json(endpoint, START_UNIX_MS, "SERVING")).collect();
+    let snapshot = list_json(1, true, &entries);
+    let mut proxy_with_list = || -> Result<(ControlOnlyProxy, Vec<NextStep>), ScaleError> {
+        let mut proxy =
+            ControlOnlyProxy::new(rng.next_u32(), ENDPOINTS, rng.next_u64(), PeriodicEvaluation::Enabled)?;
+        let mut next_steps = Vec::new();
+        proxy.start(0.0, None, &mut next_steps);
+        apply(&mut proxy, 0.0, &snapshot, &mut next_steps)?;
+        Ok((proxy, next_steps))
     };
-    // The first one leaves behind the room that reading a list takes.
-    let (mut hollow, mut todo) = holding()?;
-    let (before, count) = (resident_kb()?, (TOGETHER / endpoints).max(3));
+    // The first one grows the heap by the temporary memory that parsing a list takes, so that later ones do not.
+    let (mut proxy, mut next_steps) = proxy_with_list()?;
+    let (before, count) = (resident_memory_kb()?, (TOTAL_ENDPOINTS / endpoints).max(3));
     for _ in 0..count {
-        all.push(holding()?.0);
+        proxies.push(proxy_with_list()?.0);
     }
-    let memory_kb = (resident_kb()? - before) / f64::from(count);
+    let memory_kb = (resident_memory_kb()? - before) / f64::from(count);
 
     let mut now = 0.0;
     let changes: Vec<String> = (1..=u64::from(CHANGES))
         .map(|n| {
             let changed = numbers[(chance::unit(rng) * numbers.len() as f64) as usize];
-            list(1 + n, false, &[entry(changed, LONG_AGO + n, "SERVING")])
+            list_json(1 + n, false, &[entry_json(changed, START_UNIX_MS + n, "SERVING")])
         })
         .collect();
-    let began = cpu_us();
+    let started = thread_cpu_us();
     for change in &changes {
         now += 1.0;
-        take(&mut hollow, now, change, &mut todo)?;
+        apply(&mut proxy, now, change, &mut next_steps)?;
     }
-    let change_cpu_us = (cpu_us() - began) / f64::from(CHANGES);
-
-    let mut whole_list_cpu_us = 0.0;
-    for n in 1..=WHOLE_LISTS {
-        let whole = list(u64::from(1 + CHANGES + n), true, &entries);
-        let began = cpu_us();
-        take(&mut hollow, now, &whole, &mut todo)?;
-        whole_list_cpu_us += cpu_us() - began;
+    let change_cpu_us = (thread_cpu_us() - started) / f64::from(CHANGES);
+
+    let mut snapshot_cpu_us = 0.0;
+    for n in 1..=FULL_SNAPSHOTS {
+        let snapshot = list_json(u64::from(1 + CHANGES + n), true, &entries);
+        let started = thread_cpu_us();
+        apply(&mut proxy, now, &snapshot, &mut next_steps)?;
+        snapshot_cpu_us += thread_cpu_us() - started;
     }
 
-    let began = (now, cpu_us());
-    for _ in 0..LOOKS {
-        let timer = todo.iter().rev().find_map(|todo| match *todo {
-            Todo::Timer { at, token } => Some((at.max(now), token)),
-            Todo::Call { .. } => None,
+    let started = (now, thread_cpu_us());
+    for _ in 0..EVALUATIONS {
+        let timer = next_steps.iter().rev().find_map(|next_step| match *next_step {
+            NextStep::Timer { at, token } => Some((at.max(now), token)),
+            NextStep::Poll { .. } => None,
         });
-        let (at, token) = timer.ok_or_else(|| ScaleError::SetUp("no regular look comes".to_owned()))?;
+        let (at, token) = timer.ok_or_else(|| {
+            ScaleError::SetUp("the balancer did not schedule its periodic evaluation".to_owned())
+        })?;
         now = at;
-        todo.clear();
-        hollow.woken(now, token, &mut todo);
+        next_steps.clear();
+        proxy.on_timer(now, token, &mut next_steps);
     }
-    let idle_core_share = (cpu_us() - began.1) / ((now - began.0) * 1e3);
-    all.push(hollow);
+    let idle_core_share = (thread_cpu_us() - started.1) / ((now - started.0) * 1e3);
+    proxies.push(proxy);
     let figures = [
         ("memory_kb", memory_kb),
         ("change_cpu_us", change_cpu_us),
-        ("whole_list_cpu_ms", whole_list_cpu_us / 1e3 / f64::from(WHOLE_LISTS)),
+        ("whole_list_cpu_ms", snapshot_cpu_us / 1e3 / f64::from(FULL_SNAPSHOTS)),
         ("idle_core_share", idle_core_share),
     ];
     Ok(Point {
@@ -369,11 +385,16 @@
     })
 }
 
-/// An answer that is to be taken, to a call made long before.
-fn take(hollow: &mut Hollow, now: Millis, body: &str, todo: &mut Vec<Todo>) -> Result<(), ScaleError> {
-    match hollow.answered(now, now - 1_000.0, body.as_bytes(), todo) {
+/// Applies a response, as if its poll had been sent a second earlier.
+fn apply(
+    proxy: &mut ControlOnlyProxy,
+    now: Millis,
+    body: &str,
+    next_steps: &mut Vec<NextStep>,
+) -> Result<(), ScaleError> {
+    match proxy.on_response(now, now - 1_000.0, body.as_bytes(), next_steps) {
         Ok(Some(_)) => Ok(()),
-        Ok(None) => Err(ScaleError::SetUp("a list is doubted".to_owned())),
+        Ok(None) => Err(ScaleError::SetUp("an endpoint list was rejected".to_owned())),
         Err(error) => Err(ScaleError::SetUp(error.to_string())),
     }
 }
--- a/testbed/src/scale/virtual_fleet.rs
+++ b/testbed/src/scale/virtual_fleet.rs
@@ -11,7 +11,7 @@
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
-use super::hollow::{Hollow, Looks, Todo, entry, list};
+use super::hollow::{ControlOnlyProxy, NextStep, PeriodicEvaluation, entry_json, list_json};
 use super::law::REGIONS;
 use super::timeline::Timeline;
 use super::{Options, Point, Run, ScaleError};
@@ -68,7 +68,7 @@
 }
 
 struct Watcher {
-    hollow: Hollow,
+    hollow: ControlOnlyProxy,
     /// The number of its last call, and whether that is still out.
     call: u32,
     out: bool,
@@ -115,8 +115,8 @@
 
 impl Fleet {
     fn new(watchers: u32, service: Millis, rng: &mut Pcg32) -> Result<Fleet, ScaleError> {
-        let hollow = |me| Hollow::new(me, watchers, rng.next_u64(), Looks::LeftOut);
-        let hollows: Result<Vec<Hollow>, ScaleError> = (0..watchers).map(hollow).collect();
+        let hollow = |me| ControlOnlyProxy::new(me, watchers, rng.next_u64(), PeriodicEvaluation::Disabled);
+        let hollows: Result<Vec<ControlOnlyProxy>, ScaleError> = (0..watchers).map(hollow).collect();
         let watcher = |hollow| Watcher {
             hollow,
             call: 0,
@@ -159,11 +159,11 @@
         self.timeline.now()
     }
 
-    fn carry_out(&mut self, watcher: u32, todo: Vec<Todo>) {
+    fn carry_out(&mut self, watcher: u32, todo: Vec<NextStep>) {
         for todo in todo {
             match todo {
-                Todo::Call { after } => self.timeline.after(after, What::Dial { watcher }),
-                Todo::Timer { at, token } => self.timeline.at(at, What::Wake { watcher, token }),
+                NextStep::Poll { delay_ms } => self.timeline.after(delay_ms, What::Dial { watcher }),
+                NextStep::Timer { at, token } => self.timeline.at(at, What::Wake { watcher, token }),
             }
         }
     }
@@ -185,7 +185,7 @@
         match what {
             What::Wake { watcher, token } => {
                 let mut todo = Vec::new();
-                self.watchers[watcher as usize].hollow.woken(now, token, &mut todo);
+                self.watchers[watcher as usize].hollow.on_timer(now, token, &mut todo);
                 self.carry_out(watcher, todo);
             }
             What::Dial { watcher } => self.dial(watcher),
@@ -206,7 +206,7 @@
     fn dial(&mut self, number: u32) {
         let now = self.now();
         let watcher = &mut self.watchers[number as usize];
-        let call = watcher.hollow.call();
+        let call = watcher.hollow.next_poll();
         watcher.call += 1;
         (watcher.out, watcher.parked, watcher.after, watcher.asked) = (true, false, call.after, now);
         watcher.wait = call.wait.as_secs_f64() * 1e3;
@@ -223,7 +223,7 @@
         let now = self.now();
         let (watcher, mut todo) = (&mut self.watchers[call.watcher as usize], Vec::new());
         (watcher.out, watcher.parked) = (false, false);
-        watcher.hollow.failed(now, false, &mut todo);
+        watcher.hollow.on_failure(now, false, &mut todo);
         self.counts.failed += 1.0;
         self.carry_out(call.watcher, todo);
     }
@@ -278,7 +278,7 @@
         let (watcher, mut todo) = (&mut self.watchers[call.watcher as usize], Vec::new());
         watcher.out = false;
         // One that cannot be read has said so to the decisions, and what follows is to be done.
-        if let Ok(Some(held)) = watcher.hollow.answered(now, watcher.asked, body.as_bytes(), &mut todo) {
+        if let Ok(Some(held)) = watcher.hollow.on_response(now, watcher.asked, body.as_bytes(), &mut todo) {
             watcher.has = held;
             watcher.answered.get_or_insert(now);
             if held >= wanted {
@@ -306,9 +306,9 @@
             let is_new = |endpoint: &u32| after.is_none_or(|after| since(*endpoint) > after);
             let entries: Vec<String> = (0..ENDPOINTS)
                 .filter(is_new)
-                .map(|endpoint| entry(endpoint, since(endpoint), "SERVING"))
+                .map(|endpoint| entry_json(endpoint, since(endpoint), "SERVING"))
                 .collect();
-            list(version, after.is_none(), &entries).into()
+            list_json(version, after.is_none(), &entries).into()
         });
         Rc::clone(written)
     }
--- a/testbed/src/scale/watchers.rs
+++ b/testbed/src/scale/watchers.rs
@@ -32,7 +32,9 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::hollow::{Hollow, Looks, Todo, cpu_us as cpu_us_now, entry, list, resident_kb};
+use super::hollow::{
+    ControlOnlyProxy, NextStep, PeriodicEvaluation, entry_json, list_json, resident_memory_kb, thread_cpu_us,
+};
 use super::law::ENDPOINTS;
 use super::{Options, Point, Run, ScaleError};
 use crate::chance;
@@ -143,7 +145,7 @@
 
     fn counts(&self) -> Counts {
         let [calls, down, up] = [&self.calls, &self.down, &self.up].map(|count| count.get() as f64);
-        Counts { cpu_us: cpu_us_now(), calls, down, up }
+        Counts { cpu_us: thread_cpu_us(), calls, down, up }
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
@@ -183,8 +185,8 @@
             let new = after.is_none_or(|after| since[endpoint as usize] > after);
             new && scope.is_none_or(|scope| is_in(scope, endpoint, self.endpoints))
         });
-        let told: Vec<String> = told.map(|told| entry(told, since[told as usize], "SERVING")).collect();
-        list(*self.newest.borrow(), after.is_none(), &told).into()
+        let told: Vec<String> = told.map(|told| entry_json(told, since[told as usize], "SERVING")).collect();
+        list_json(*self.newest.borrow(), after.is_none(), &told).into()
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
@@ -360,28 +362,28 @@
 /// One hollow client proxy for as long as the run lasts.
 async fn follow(
     number: usize,
-    mut hollow: Hollow,
+    mut hollow: ControlOnlyProxy,
     scope: Option<u32>,
-    mut todo: Vec<Todo>,
+    mut todo: Vec<NextStep>,
     board: Rc<Board>,
 ) {
     let (mut link, mut breaks) = (None, board.breaks.subscribe());
     let host: HeaderValue = board.address.to_string().parse().expect("an address is a header value");
     while let Some(next) = todo.pop() {
         let asked = match next {
-            Todo::Timer { at, token } => {
+            NextStep::Timer { at, token } => {
                 sleep(Duration::from_secs_f64((at - board.now()).max(0.0) / 1e3)).await;
-                hollow.woken(board.now(), token, &mut todo);
+                hollow.on_timer(board.now(), token, &mut todo);
                 continue;
             }
-            Todo::Call { after } => {
-                if after > 0.0 {
-                    sleep(Duration::from_secs_f64(after / 1e3)).await;
+            NextStep::Poll { delay_ms } => {
+                if delay_ms > 0.0 {
+                    sleep(Duration::from_secs_f64(delay_ms / 1e3)).await;
                 }
                 board.now()
             }
         };
-        let call = hollow.call();
+        let call = hollow.next_poll();
         let mut request = list_request(host.clone(), &call.path());
         if let Some(scope) = scope {
             request.headers_mut().insert(SCOPE_HEADER, scope.into());
@@ -395,11 +397,11 @@
         };
         let Some(DiscoveryResponse { connection: kept, body, .. }) = made.await else {
             board.failed.set(board.failed.get() + 1);
-            hollow.failed(board.now(), false, &mut todo);
+            hollow.on_failure(board.now(), false, &mut todo);
             continue;
         };
         link = Some(kept);
-        match hollow.answered(board.now(), asked, &body, &mut todo) {
+        match hollow.on_response(board.now(), asked, &body, &mut todo) {
             Ok(held) => {
                 board.answered.borrow_mut()[number] = true;
                 if held.is_some_and(|held| held >= board.wanted.get()) {
@@ -451,12 +453,13 @@
     let from = server.count().await?;
     let mut running = Vec::new();
     for number in 0..watchers {
-        let mut hollow = Hollow::new(number, watchers, rng.next_u64(), Looks::LeftOut)?;
+        let mut hollow =
+            ControlOnlyProxy::new(number, watchers, rng.next_u64(), PeriodicEvaluation::Disabled)?;
         let (scope, known) = match lists {
             Lists::Scoped => (Some(number / SHARED_BY), None),
             Lists::Whole => {
-                let few: Vec<String> = (0..9).map(|endpoint| entry(endpoint, 1, "SERVING")).collect();
-                (None, serde_json::from_str(&list(1, true, &few)).ok())
+                let few: Vec<String> = (0..9).map(|endpoint| entry_json(endpoint, 1, "SERVING")).collect();
+                (None, serde_json::from_str(&list_json(1, true, &few)).ok())
             }
         };
         let mut todo = Vec::new();
@@ -579,10 +582,10 @@
         *version += 1;
         board.want(*version);
         let from = server.count().await?;
-        let own = cpu_us_now();
+        let own = thread_cpu_us();
         let at = server.change().await?;
         until("a change", || board.reached.borrow().iter().all(Option::is_some)).await?;
-        at_work += cpu_us_now() - own;
+        at_work += thread_cpu_us() - own;
         passed += at.elapsed().as_secs_f64() * 1e6;
         sleep(TAKE_IN).await;
         let all = server.count().await?;
@@ -602,7 +605,7 @@
 async fn memory_kb(axis: &[u32], endpoints: u32) -> Result<Vec<f64>, ScaleError> {
     let server = Server::start(endpoints)?;
     server.count().await?;
-    let (before, mut sockets, mut memory) = (resident_kb()?, Vec::new(), Vec::new());
+    let (before, mut sockets, mut memory) = (resident_memory_kb()?, Vec::new(), Vec::new());
     for &watchers in axis {
         while sockets.len() < watchers as usize {
             let mut socket = std::net::TcpStream::connect(server.address)?;
@@ -614,7 +617,7 @@
         while server.count().await?.calls < f64::from(watchers) && began.elapsed() < WITHIN {
             sleep(LOOK_EVERY).await;
         }
-        memory.push((resident_kb()? - before) / f64::from(watchers));
+        memory.push((resident_memory_kb()? - before) / f64::from(watchers));
     }
     Ok(memory)
 }
