--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -270,7 +270,7 @@
             Ok(ExitCode::from(if run.void.is_some() { NOT_PLAYED } else { 0 }))
         }
         ScaleCall::Report { dir, html } => {
-            fs::write(&html, scale::report::page(&scale::read_all(&dir)?)?)?;
+            fs::write(&html, scale::report::page(&scale::read_runs(&dir)?)?)?;
             Ok(ExitCode::SUCCESS)
         }
         ScaleCall::Page { dir, page, check } => {
--- a/testbed/src/scale.rs
+++ b/testbed/src/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run: one axis of the fleet's size at a time, with what it costs at each point. Slopes and their errors come
-//! from several seeds together; the page docs/CAPACITY.md multiplies them out.
+//! Scale runs. Each run varies one dimension of the fleet's size and measures the cost at each point. Slopes and their
+//! errors are fitted over the runs of several seeds; `docs/CAPACITY.md` extrapolates from them.
 
 pub mod depth;
 pub mod fit;
@@ -21,151 +21,191 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why a run was not made, or its figures are not there.
+/// Why a run failed, or its figures could not be read.
 #[derive(Debug, Error)]
 pub enum ScaleError {
     /// No run has this name.
-    #[error("{0}: no such run; `scale list` names them")]
+    #[error("no run named {0}; see `scale list`")]
     Unknown(String),
-    /// The system, or a process that was started.
+    /// A system call failed, or a child process could not be started.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A file of figures, or what it says.
+    /// A file could not be read, or its content is invalid.
     #[error("{path}: {problem}")]
     File {
-        /// Which one.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// What is wrong with it.
         problem: String,
     },
-    /// The run could not be set up.
+    /// The run could not be set up, or did not make progress.
     #[error("{0}")]
     SetUp(String),
 }
 
-/// One point of the axis.
+/// The figures measured at one point of the axis.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Point {
-    /// Where on the axis.
+    /// The position on the axis.
     pub x: f64,
-    /// By name; the name ends with its unit, as in `memory_mb`, `idle_core_share`, `change_cpu_ms`, `down_bytes_s`.
+    /// Figures by name. The name has the unit, as in `memory_mb`, `idle_core_share`, `change_cpu_ms`, `down_bytes_s`.
     pub figures: BTreeMap<String, f64>,
 }
 
-/// One run: one axis, one seed.
+/// The result of one run: one axis, one seed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Run {
-    /// Its name, one of [`RUNS`].
+    /// The name of the run, one of [`RUNS`].
     pub run: String,
-    /// What changes from point to point, with its unit.
+    /// The quantity that varies between points, with its unit.
     pub axis: String,
-    /// All chance is from it.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Why it does not count, where it does not: the testbed itself was late.
+    /// If the run is invalid, the reason: the testbed itself was too slow.
     pub void: Option<String>,
-    /// What was held fixed, as a reader needs it: counts, sizes, laws, limits of the machine.
+    /// The conditions that are the same at all points: counts, sizes, distributions, limits of the machine.
     pub fixed: BTreeMap<String, String>,
-    /// From the least `x` to the greatest.
+    /// The points by ascending `x`.
     pub points: Vec<Point>,
 }
 
-/// What is set from outside.
+/// Options from the command line.
 pub struct Options {
-    /// The client proxy's program.
+    /// The client proxy's executable.
     pub binary: PathBuf,
-    /// All chance is from it.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// For files of the processes.
+    /// Directory for the files of the child processes.
     pub dir: PathBuf,
 }
 
-/// A run that can be asked for: its name, what it finds out, and how it is made.
-pub struct Known {
-    /// As on the command line and in the JSON.
+/// A run that the command line offers.
+pub struct RunDefinition {
+    /// The name on the command line and in the JSON.
     pub name: &'static str,
-    /// In a sentence.
+    /// A one-line description.
     pub about: &'static str,
-    /// Makes it.
-    pub make: fn(&Options) -> Result<Run, ScaleError>,
+    /// Executes the run.
+    pub execute: fn(&Options) -> Result<Run, ScaleError>,
 }
 
-/// All runs.
-pub const RUNS: &[Known] = &[
-    Known {
+/// All runs that exist.
+pub const RUNS: &[RunDefinition] = &[
+    RunDefinition {
         name: "client-endpoints",
-        about: "a client proxy by the length of its list",
-        make: real::client_endpoints,
+        about: "cost of a client proxy by endpoints in its list",
+        execute: real::client_endpoints,
     },
-    Known { name: "client-changes", about: "a client proxy by changes a second", make: real::client_changes },
-    Known {
+    RunDefinition {
+        name: "client-changes",
+        about: "cost of a client proxy by list changes per second",
+        execute: real::client_changes,
+    },
+    RunDefinition {
         name: "client-burst",
-        about: "a client proxy by endpoints that change at once",
-        make: real::client_burst,
+        about: "cost of a client proxy by endpoints changed at once",
+        execute: real::client_burst,
+    },
+    RunDefinition {
+        name: "client-latency",
+        about: "latency that a client proxy adds to a request",
+        execute: real::client_latency,
     },
-    Known { name: "client-latency", about: "what a client proxy adds to a call", make: real::client_latency },
-    Known {
+    RunDefinition {
         name: "services",
-        about: "What a client proxy has to hold in the supposed fleet.",
-        make: law::make,
+        about: "endpoints that a client proxy of the modelled fleet has in its list",
+        execute: law::make,
+    },
+    RunDefinition {
+        name: "hollow-endpoints",
+        about: "cost of a control-only client proxy by endpoints in its list",
+        execute: hollow::run,
     },
-    Known { name: "hollow-endpoints", about: "Hollow client proxies by endpoints held.", make: hollow::make },
-    Known {
+    RunDefinition {
         name: "discovery-watchers",
-        about: "Discovery by watchers, each told what it calls.",
-        make: watchers::scoped,
+        about: "cost of discovery by watchers, each of which gets its own scope",
+        execute: watchers::scoped,
     },
-    Known {
+    RunDefinition {
         name: "discovery-watchers-whole",
-        about: "The same, each told of the whole fleet.",
-        make: watchers::whole,
+        about: "cost of discovery by watchers, each of which gets the whole fleet",
+        execute: watchers::whole,
     },
-    Known {
+    RunDefinition {
         name: "fleet-virtual-50us",
-        about: "A fleet in virtual time, 50 us a call.",
-        make: virtual_fleet::lean,
+        about: "a fleet in virtual time, 50 us of service time per poll",
+        execute: virtual_fleet::lean,
     },
-    Known {
+    RunDefinition {
         name: "fleet-virtual-1ms",
-        about: "A fleet in virtual time, 1 ms a call.",
-        make: virtual_fleet::slow,
+        about: "a fleet in virtual time, 1 ms of service time per poll",
+        execute: virtual_fleet::slow,
     },
-    Known {
+    RunDefinition {
         name: "fleet-virtual-50ms",
-        about: "A fleet in virtual time, 50 ms a call.",
-        make: virtual_fleet::as_reckoned,
+        about: "a fleet in virtual time, 50 ms of service time per poll",
+        execute: virtual_fleet::as_reckoned,
     },
-    Known { name: "retry-depth", about: "How repeats multiply over levels of calls.", make: depth::make },
-    Known { name: "relay-watchers", about: "a relay by its watchers", make: relay::by_watchers },
-    Known {
+    RunDefinition {
+        name: "retry-depth",
+        about: "how retries multiply over the levels of a call tree",
+        execute: depth::make,
+    },
+    RunDefinition {
+        name: "relay-watchers",
+        about: "cost of a relay by watchers",
+        execute: relay::by_watchers,
+    },
+    RunDefinition {
         name: "relay-unconcerned",
-        about: "a relay by watchers whom no change concerns",
-        make: relay::by_unconcerned,
-    },
-    Known { name: "relay-endpoints", about: "a relay by the length of the list", make: relay::by_endpoints },
-    Known { name: "relay-burst", about: "a relay by endpoints that change at once", make: relay::burst },
-    Known { name: "relay-hops", about: "changes through one relay, and through two", make: relay::hops },
-    Known { name: "relay-lost", about: "the watchers of a relay that is lost", make: relay::lost },
-    Known { name: "relay-return", about: "a relay by watchers that come at once", make: relay::returning },
+        about: "cost of a relay by watchers that no change concerns",
+        execute: relay::by_unconcerned,
+    },
+    RunDefinition {
+        name: "relay-endpoints",
+        about: "cost of a relay by endpoints in the list",
+        execute: relay::by_endpoints,
+    },
+    RunDefinition {
+        name: "relay-burst",
+        about: "cost of a relay by endpoints changed at once",
+        execute: relay::burst,
+    },
+    RunDefinition {
+        name: "relay-hops",
+        about: "propagation of changes through one relay and through two",
+        execute: relay::hops,
+    },
+    RunDefinition {
+        name: "relay-lost",
+        about: "failover of the watchers of a failed relay",
+        execute: relay::lost,
+    },
+    RunDefinition {
+        name: "relay-return",
+        about: "one relay with many watchers that reconnect at once",
+        execute: relay::returning,
+    },
 ];
 
-/// Makes one run.
+/// Executes one run.
 ///
 /// # Errors
-/// Where it is not known or cannot be set up.
+/// If no run has this name, or the run fails.
 pub fn run(name: &str, options: &Options) -> Result<Run, ScaleError> {
-    let known = RUNS.iter().find(|known| known.name == name);
-    (known.ok_or_else(|| ScaleError::Unknown(name.to_owned()))?.make)(options)
+    let definition = RUNS.iter().find(|definition| definition.name == name);
+    (definition.ok_or_else(|| ScaleError::Unknown(name.to_owned()))?.execute)(options)
 }
 
-/// All runs that a folder holds and that count, by name; of each, the seeds in order.
+/// Reads the results of all valid runs in a directory, by name of the run and then by seed.
 ///
 /// # Errors
-/// Where a file cannot be read or is no run.
-pub fn read_all(dir: &Path) -> Result<BTreeMap<String, Vec<Run>>, ScaleError> {
+/// If a file cannot be read or does not contain a run.
+pub fn read_runs(dir: &Path) -> Result<BTreeMap<String, Vec<Run>>, ScaleError> {
     let mut runs: BTreeMap<String, Vec<Run>> = BTreeMap::new();
     for entry in fs::read_dir(dir)? {
         let path = entry?.path();
-        if path.extension().is_none_or(|end| end != "json") {
+        if path.extension().is_none_or(|extension| extension != "json") {
             continue;
         }
         let run: Result<Run, _> = serde_json::from_slice(&fs::read(&path)?);
@@ -174,6 +214,6 @@
             runs.entry(run.run.clone()).or_default().push(run);
         }
     }
-    runs.values_mut().for_each(|seeds| seeds.sort_by_key(|run| run.seed));
+    runs.values_mut().for_each(|results| results.sort_by_key(|run| run.seed));
     Ok(runs)
 }
--- a/testbed/src/scale/page.rs
+++ b/testbed/src/scale/page.rs
@@ -14,7 +14,7 @@
 use self::rows::{Book, Row};
 use self::working::{Worked, Working};
 use super::fit::Fit;
-use super::{Run, ScaleError, read_all};
+use super::{Run, ScaleError, read_runs};
 
 /// What the tables are made of, in the folder with the JSON.
 const ROWS: &str = "rows.toml";
@@ -45,7 +45,7 @@
     let problem = |path: &Path, problem: String| ScaleError::File { path: path.to_owned(), problem };
     let text = fs::read_to_string(&path).map_err(|error| problem(&path, error.to_string()))?;
     let book: Book = toml::from_str(&text).map_err(|error| problem(&path, error.to_string()))?;
-    let runs = read_all(dir)?;
+    let runs = read_runs(dir)?;
     let tables = tables(&book, &runs).map_err(|why| problem(&path, why))?;
     let text = fs::read_to_string(page).map_err(|error| problem(page, error.to_string()))?;
     filled(&text, &tables).map_err(|why| problem(page, why))
