--- a/client-proxy/src/clients/tests.rs
+++ b/client-proxy/src/clients/tests.rs
@@ -308,7 +308,7 @@
 }
 
 /// A close over unread bytes resets the connection, and with it responses that do not fit into the client's
-/// buffer yet are lost.
+/// buffer yet would be lost.
 #[test]
 fn close_over_unread_bytes_loses_no_response() {
     run(async {
--- a/client-proxy/src/endpoint_pool/tests.rs
+++ b/client-proxy/src/endpoint_pool/tests.rs
@@ -49,7 +49,7 @@
 /// of it when the connection is to be reused. The response would be taken for that of the next request, or
 /// the request would be written to a dead connection.
 #[test]
-fn idle_connection_with_unnoticed_input_is_not_reused() {
+fn idle_connection_with_input_is_not_reused() {
     for input in [Input::Stray, Input::Close, Input::Reset] {
         assert_not_reused_after(input);
     }
@@ -68,9 +68,7 @@
             match input {
                 Input::Stray => write_response(&mut first, "stray"),
                 Input::Close => {}
-                Input::Reset => {
-                    SockRef::from(&first).set_linger(Some(Duration::ZERO)).expect("invalid socket")
-                }
+                Input::Reset => SockRef::from(&first).set_linger(Some(Duration::ZERO)).expect("set_linger"),
             }
             let _open = Some(first).filter(|_| input == Input::Stray);
             let (mut second, _) = listener.accept().expect("accept failed");
@@ -166,9 +164,7 @@
             // From here to the write the runtime does not run, so it is not notified of the client.
             match departure {
                 Departure::Closed => drop(peer),
-                Departure::HalfClosed => {
-                    peer.shutdown(std::net::Shutdown::Write).expect("could not shut down the sending side")
-                }
+                Departure::HalfClosed => peer.shutdown(std::net::Shutdown::Write).expect("shutdown failed"),
                 Departure::Reset => {
                     let linger = Some(Duration::ZERO);
                     socket2::SockRef::from(&peer).set_linger(linger).expect("invalid socket");
--- a/client-proxy/src/fleet_config/tests.rs
+++ b/client-proxy/src/fleet_config/tests.rs
@@ -3,7 +3,7 @@
 /// A typing error could turn a feature off, or on with other values than intended. An unknown key, a wrong
 /// type or an unknown zone ends the start with an error that names the file and the key.
 #[test]
-fn invalid_key_is_reported_with_file_and_key() {
+fn invalid_key_is_reported_with_file() {
     for (text, expected) in [
         ("[zone]\nown = \"a\"", "line 1"),
         ("[zones]\nown = \"a\"\nregion = {}", "line 3"),
--- a/client-proxy/src/monitored_stream/tests.rs
+++ b/client-proxy/src/monitored_stream/tests.rs
@@ -61,7 +61,7 @@
 /// The system has received a close or unsolicited bytes, but no task has been notified yet. The connection
 /// must not pass for idle.
 #[test]
-fn input_is_noticed_before_any_task_is_notified() {
+fn input_is_noticed_before_task_is_notified() {
     run(async {
         let (watched, mut peer) = connected_pair().await;
         assert!(watched.is_quiet());
@@ -76,7 +76,7 @@
 /// A client disconnects behind more data than is read ahead, and the runtime has not been notified since.
 /// An attempt must not begin for it.
 #[test]
-fn hang_up_behind_full_read_ahead_is_detected() {
+fn hang_up_behind_read_ahead_is_detected() {
     run(async {
         for extra in [0, 1, MAX_READ_AHEAD] {
             let (watched, mut peer) = connected_pair().await;
@@ -92,7 +92,7 @@
 /// A read that returns less than the buffer holds does not mean that nothing follows: an end of stream may
 /// be behind it.
 #[test]
-fn hang_up_behind_a_short_read_is_detected() {
+fn hang_up_behind_short_read_is_detected() {
     run(async {
         for length in [1, 100, 2000] {
             let (watched, mut peer) = connected_pair().await;
@@ -107,7 +107,7 @@
 /// The peer has to see the end of the stream at once, not after the drain: a client would learn a second
 /// late that its response is truncated.
 #[test]
-fn drained_stream_is_shut_down_for_the_peer() {
+fn draining_shuts_down_sending_side() {
     run(async {
         let (watched, mut peer) = connected_pair().await;
         peer.set_read_timeout(Some(Duration::from_secs(20))).expect("could not set the read timeout");
@@ -146,7 +146,7 @@
 /// A pipelined request waits behind an earlier response, in the read-ahead or in the system's buffer. That
 /// time must count against its deadline.
 #[test]
-fn unread_bytes_date_from_the_last_empty_read() {
+fn unread_bytes_date_from_last_empty_read() {
     run_paused(async {
         let (watched, mut peer) = connected_pair().await;
         assert!(watched.is_quiet());
@@ -187,7 +187,7 @@
 
 /// The same for bytes that come while a response is awaited, and are read ahead.
 #[test]
-fn bytes_that_wake_the_hang_up_watch_are_new() {
+fn bytes_waking_hang_up_watch_are_new() {
     run_paused(async {
         let (watched, mut peer) = connected_pair().await;
         let mut hung_up = pin!(watched.wait_for_hang_up());
@@ -209,7 +209,7 @@
 /// If the task has used up its cooperative budget, a pending read does not mean that the system's buffer is
 /// empty. Bytes that were already there must not pass for new ones.
 #[test]
-fn read_without_coop_budget_proves_no_empty_buffer() {
+fn read_without_coop_budget_proves_nothing() {
     use tokio::task::coop::poll_proceed;
     run_paused(async {
         let (watched, mut peer) = connected_pair().await;
@@ -238,7 +238,7 @@
 /// A request that its client sends right after a response must not lose the time that the response took,
 /// and one that came earlier must not gain it.
 #[test]
-fn bytes_behind_a_response_date_from_last_check() {
+fn bytes_behind_response_date_from_check() {
     run_paused(async {
         let (watched, mut peer) = connected_pair().await;
         assert!(watched.is_quiet());
@@ -255,7 +255,7 @@
 /// A first request must not gain the time that it waited in the accept queue: the runtime is notified only
 /// now of bytes that came with the connection.
 #[test]
-fn first_bytes_may_be_as_old_as_connection() {
+fn first_bytes_may_predate_accept() {
     run_paused(async {
         let (watched, mut peer) = connected_pair().await;
         peer.write_all(b"x").expect("could not write");
--- a/client-proxy/src/process_state/put_back/tests.rs
+++ b/client-proxy/src/process_state/put_back/tests.rs
@@ -19,7 +19,7 @@
 /// earlier version. Slow start counts from when the endpoint was enabled again if that is known, else from
 /// when the file was read.
 #[test]
-fn attach_time_is_from_this_boot_or_now() {
+fn attach_time_falls_back_to_now() {
     assert_eq!(read("this boot", Some(NOW - 5e3)).get("s1"), Some(NOW - 5e3));
     assert_eq!(read("another boot", Some(NOW - 5e3)).get("s1"), Some(NOW));
     assert_eq!(read("this boot", Some(NOW + 5e3)).get("s1"), Some(NOW), "ahead of this machine's clock");
--- a/client-proxy/src/process_state/tests.rs
+++ b/client-proxy/src/process_state/tests.rs
@@ -121,7 +121,7 @@
 
 /// The event loop must not block while another process, or the disk, delays an operation.
 #[test]
-fn lock_of_another_process_blocks_only_the_change() {
+fn lock_of_other_process_blocks_only_change() {
     run(async {
         let dir = empty_folder("lock");
         let process_state = open_and_read(&dir, "n0", &names()).await;
@@ -234,7 +234,7 @@
 
 /// A change of the other process that is read together with one of this process must be applied too.
 #[test]
-fn change_of_other_process_read_with_own_is_reported() {
+fn change_of_other_process_is_reported() {
     run(async {
         let dir = empty_folder("own");
         let (old, new) =
--- a/client-proxy/src/request_body/tests.rs
+++ b/client-proxy/src/request_body/tests.rs
@@ -7,7 +7,7 @@
 /// While a body that has arrived waits for memory, its deadline keeps running: the wait must not be counted
 /// as time that the client took to send it, or the response would come late.
 #[test]
-fn memory_wait_is_not_charged_to_the_body() {
+fn memory_wait_is_not_charged_to_body() {
     const MEMORY_WAIT: Duration = Duration::from_millis(200);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("could not bind a loopback port");
     let address = listener.local_addr().expect("no local address");
--- a/client-proxy/src/request_end/tests.rs
+++ b/client-proxy/src/request_end/tests.rs
@@ -12,7 +12,7 @@
 /// The connection has received the last byte of a body that the attempt has not taken yet. Requests behind
 /// that body must not be lost, and the connection must not be kept for a body that never ends.
 #[test]
-fn end_of_a_body_still_read_is_awaited() {
+fn end_of_body_still_read_is_awaited() {
     const DELAY: Duration = Duration::from_millis(100);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     runtime.expect("could not build the runtime").block_on(async {
--- a/client-proxy/tests/common/discovery_server.rs
+++ b/client-proxy/tests/common/discovery_server.rs
@@ -41,9 +41,7 @@
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let (shared, sender) = (Arc::clone(&shared), sender.clone());
-                std::thread::spawn(move || {
-                    serve_connection(stream.expect("accept failed"), &shared, &sender)
-                });
+                std::thread::spawn(move || serve(stream.expect("accept failed"), &shared, &sender));
             }
         });
         DiscoveryServer { address, published, polls }
@@ -74,11 +72,7 @@
     }
 }
 
-fn serve_connection(
-    mut stream: TcpStream,
-    shared: &(Mutex<PublishedList>, Condvar),
-    sender: &Sender<String>,
-) {
+fn serve(mut stream: TcpStream, shared: &(Mutex<PublishedList>, Condvar), sender: &Sender<String>) {
     let mut reader = BufReader::new(stream.try_clone().expect("could not clone the socket"));
     while let Some(poll) = read_message(&mut reader) {
         let path = poll.start.split(' ').nth(1).expect("missing path").to_owned();
--- a/client-proxy/tests/common/ending.rs
+++ b/client-proxy/tests/common/ending.rs
@@ -30,7 +30,8 @@
     settings
 }
 
-pub fn start_with_long_deadlines(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Proxy {
+/// Starts a client proxy with [`long_deadline_settings`].
+pub fn start_proxy(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Proxy {
     let mut config = config(discovery, long_deadline_settings());
     change(&mut config);
     Proxy::start(&config)
@@ -157,7 +158,7 @@
     statuses
 }
 
-/// An endpoint that reads without end and reports once `SINK_THRESHOLD_BYTES` have arrived on a connection.
+/// An endpoint that reads without end and reports once `THRESHOLD_BYTES` have arrived on a connection.
 /// It responds to GET requests only, with `response_head` and an endless body; if that is empty, it never
 /// responds.
 pub struct Sink {
@@ -167,7 +168,7 @@
 }
 
 /// More than the longest body that the client proxy buffers.
-pub const SINK_THRESHOLD_BYTES: usize = 64 * 1024;
+pub const THRESHOLD_BYTES: usize = 64 * 1024;
 
 pub const ENDLESS_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n";
 
@@ -191,7 +192,7 @@
                             }
                             let _ = head_sender.send(head);
                         }
-                        if received < SINK_THRESHOLD_BYTES && received + read >= SINK_THRESHOLD_BYTES {
+                        if received < THRESHOLD_BYTES && received + read >= THRESHOLD_BYTES {
                             let _ = threshold_sender.send(());
                         }
                         received += read;
@@ -236,9 +237,7 @@
 /// A client proxy with little memory, its one endpoint, and a request in flight to it.
 pub fn with_little_memory(sink: &Sink) -> (Proxy, Client, DiscoveryServer) {
     let discovery_server = DiscoveryServer::start(eight_endpoints_at(sink.address));
-    let proxy = start_with_long_deadlines(discovery_server.address, |config| {
-        config["limits"]["memory_mb"] = json!(1)
-    });
+    let proxy = start_proxy(discovery_server.address, |config| config["limits"]["memory_mb"] = json!(1));
     discovery_server.wait_until_list_received();
     let mut hung = proxy.client();
     hung.write(&pay_request(DEADLINE_MS));
--- a/client-proxy/tests/common/faults.rs
+++ b/client-proxy/tests/common/faults.rs
@@ -149,14 +149,14 @@
 
 /// A client proxy under a fault plan, with healthy upstreams. The plan is empty until the list has been
 /// received.
-pub struct FaultyProxy {
+pub struct Faulty {
     pub faults: Faults,
     pub proxy: Proxy,
     pub _discovery: DiscoveryServer,
 }
 
-impl FaultyProxy {
-    pub fn start(upstreams: &[&Upstream], change: impl FnOnce(&mut Value)) -> FaultyProxy {
+impl Faulty {
+    pub fn start(upstreams: &[&Upstream], change: impl FnOnce(&mut Value)) -> Faulty {
         let entries = upstreams
             .iter()
             .enumerate()
@@ -167,7 +167,7 @@
         let faults = Faults::new(json!({}));
         let proxy = faults.start(&config);
         discovery_server.wait_until_list_received();
-        FaultyProxy { faults, proxy, _discovery: discovery_server }
+        Faulty { faults, proxy, _discovery: discovery_server }
     }
 }
 
--- a/client-proxy/tests/shutdown_faults.rs
+++ b/client-proxy/tests/shutdown_faults.rs
@@ -55,9 +55,7 @@
             let mut holder = proxy.client();
             holder.write(&endless);
             let holder_stream = holder.stream.try_clone().expect("could not clone the socket");
-            std::thread::spawn(move || {
-                trickle(&holder_stream, &"x".repeat(SINK_THRESHOLD_BYTES + 32 * 1024))
-            });
+            std::thread::spawn(move || trickle(&holder_stream, &"x".repeat(THRESHOLD_BYTES + 32 * 1024)));
             sink.wait_until_threshold();
             holder
         })
@@ -115,7 +113,7 @@
         _ => Reply::Stall,
     });
     let discovery_server = DiscoveryServer::start(eight_endpoints_at(upstream.address));
-    let proxy = start_with_long_deadlines(discovery_server.address, |_| {});
+    let proxy = start_proxy(discovery_server.address, |_| {});
     discovery_server.wait_until_list_received();
     let client_sending = |text: &str| {
         let mut client = proxy.client();
@@ -195,7 +193,7 @@
             _ => Reply::Send(http_response("200 OK", "", "done")),
         });
         let start_with_list = |endpoints: Value| {
-            start_with_long_deadlines(address, |config| {
+            start_proxy(address, |config| {
                 config["known"] = json!({"index": 41, "snapshot": true, "endpoints": endpoints});
             })
         };
@@ -233,8 +231,7 @@
 fn full_descriptors_leave_no_request_unanswered() {
     let upstream = Upstream::start(|_| Reply::Stall);
     let discovery_server = DiscoveryServer::start(eight_endpoints_at(upstream.address));
-    let proxy =
-        start_with_long_deadlines(discovery_server.address, |config| config["limits"]["sockets"] = json!(64));
+    let proxy = start_proxy(discovery_server.address, |config| config["limits"]["sockets"] = json!(64));
     discovery_server.wait_until_list_received();
     let client_sending = |text: &str| {
         let mut client = proxy.client();
--- a/client-proxy/tests/socket_budget.rs
+++ b/client-proxy/tests/socket_budget.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use common::faults::{FaultyProxy, LONG_DEADLINE_MS};
+use common::faults::{Faulty, LONG_DEADLINE_MS};
 use common::*;
 use serde_json::json;
 
@@ -23,7 +23,7 @@
 /// A client proxy whose socket budget is exhausted, by as many clients as are admitted and by connections
 /// to endpoints that delay their responses. The requests of [`WAITING`] more of the clients find no socket.
 struct FullBudget {
-    faulty: FaultyProxy,
+    faulty: Faulty,
     upstreams: Vec<Upstream>,
     release: Sender<()>,
     in_flight: Vec<Client>,
@@ -36,7 +36,7 @@
         let (release, released) = channel();
         let released = Arc::new(Mutex::new(released));
         let upstreams: Vec<Upstream> = (0..4).map(|_| gated_upstream(Arc::clone(&released))).collect();
-        let faulty = FaultyProxy::start(&upstreams.iter().collect::<Vec<_>>(), |config| {
+        let faulty = Faulty::start(&upstreams.iter().collect::<Vec<_>>(), |config| {
             config["limits"]["sockets"] = json!(MIN_SOCKETS);
             config["admin_addr"] = json!("127.0.0.1:0");
         });
--- a/client-proxy/tests/system_calls.rs
+++ b/client-proxy/tests/system_calls.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::Sender;
 use std::time::{Duration, Instant};
 
-use common::faults::{Faults, FaultyProxy, LONG_DEADLINE_MS, healthy_upstream};
+use common::faults::{Faults, Faulty, LONG_DEADLINE_MS, healthy_upstream};
 use common::*;
 use serde_json::{Value, json};
 
@@ -19,7 +19,7 @@
     let body = "0123456789".repeat(1000);
     let ok_response = http_response("200 OK", "", &body);
     let upstream = Upstream::start(move |_| Reply::Send(ok_response.clone()));
-    let faulty = FaultyProxy::start(&[&upstream], |_| ());
+    let faulty = Faulty::start(&[&upstream], |_| ());
     faulty.faults.replace_plan(json!({"seed": 7, "rules": [
         {"call": "recv", "short": 100, "probability": 0.5},
         {"call": "send", "short": 100, "probability": 0.5},
@@ -40,7 +40,7 @@
 fn partly_written_request_is_retried_elsewhere() {
     for error in ["ECONNRESET", "EPIPE", "ETIMEDOUT"] {
         let upstreams = [healthy_upstream(), healthy_upstream()];
-        let faulty = FaultyProxy::start(&[&upstreams[0], &upstreams[1]], |_| ());
+        let faulty = Faulty::start(&[&upstreams[0], &upstreams[1]], |_| ());
         faulty.faults.replace_plan(json!({"rules": [
             {"call": "send", "short": 20, "count": 1}, {"call": "send", "error": error, "count": 1}]}));
         assert_eq!(
@@ -62,7 +62,7 @@
     for call in ["recv", "send"] {
         let ok_response = ok_response.clone();
         let upstream = Upstream::start(move |_| Reply::Send(ok_response.clone()));
-        let faulty = FaultyProxy::start(&[&upstream], |_| ());
+        let faulty = Faulty::start(&[&upstream], |_| ());
         faulty.faults.replace_plan(json!({"seed": 7, "rules": [
             {"call": call, "error": "EINTR", "probability": 0.33}]}));
         let mut client = faulty.proxy.client();
@@ -81,7 +81,7 @@
     for call in ["connect", "socket"] {
         for error in LOCAL_ERRORS {
             let upstream = healthy_upstream();
-            let faulty = FaultyProxy::start(&[&upstream], |_| ());
+            let faulty = Faulty::start(&[&upstream], |_| ());
             // More failures than a request has attempts.
             faulty.faults.replace_plan(json!({"rules": [{"call": call, "error": error, "count": 4}]}));
             let status = faulty.proxy.client().round_trip(&post("pay", LONG_DEADLINE_MS, "", "")).status();
@@ -96,7 +96,7 @@
 #[test]
 fn local_connect_outage_loses_no_request() {
     let upstreams: Vec<Upstream> = (0..4).map(|_| healthy_upstream()).collect();
-    let faulty = FaultyProxy::start(&upstreams.iter().collect::<Vec<_>>(), |_| ());
+    let faulty = Faulty::start(&upstreams.iter().collect::<Vec<_>>(), |_| ());
     faulty.faults.replace_plan(json!({"rules": [{"call": "connect", "error": "EADDRNOTAVAIL"}]}));
     // Few enough that none is rejected for overload.
     const CLIENTS: usize = 8;
@@ -127,7 +127,7 @@
 fn unreachable_network_leaves_other_endpoints_in_use() {
     for error in ["ENETUNREACH", "EPERM"] {
         let upstreams = [healthy_upstream(), healthy_upstream()];
-        let faulty = FaultyProxy::start(&[&upstreams[0], &upstreams[1]], |_| ());
+        let faulty = Faulty::start(&[&upstreams[0], &upstreams[1]], |_| ());
         faulty.faults.replace_plan(json!({"rules": [{"call": "connect", "error": error, "count": 3}]}));
         let status = faulty.proxy.client().round_trip(&post("pay", LONG_DEADLINE_MS, "", "")).status();
         assert_eq!((status, faulty.faults.trigger_count(0)), (200, 3), "{error}");
@@ -140,9 +140,8 @@
 fn long_network_outage_uses_up_no_attempt() {
     for error in ["ENETUNREACH", "ENETDOWN", "EPERM"] {
         let upstream = healthy_upstream();
-        let faulty = FaultyProxy::start(&[&upstream], |config| {
-            config["settings"]["limits"]["dialTimeout"] = json!(20.0)
-        });
+        let faulty =
+            Faulty::start(&[&upstream], |config| config["settings"]["limits"]["dialTimeout"] = json!(20.0));
         // Far more failures than three attempts make within their dial timeouts.
         faulty.faults.replace_plan(json!({"rules": [{"call": "connect", "error": error, "count": 20}]}));
         let status = faulty.proxy.client().round_trip(&post("pay", LONG_DEADLINE_MS, "", "")).status();
@@ -156,7 +155,7 @@
 fn permanent_network_outage_ends_request_in_time() {
     let upstream = healthy_upstream();
     let faulty =
-        FaultyProxy::start(&[&upstream], |config| config["settings"]["limits"]["dialTimeout"] = json!(20.0));
+        Faulty::start(&[&upstream], |config| config["settings"]["limits"]["dialTimeout"] = json!(20.0));
     faulty.faults.replace_plan(json!({"rules": [{"call": "connect", "error": "ENETUNREACH"}]}));
     assert_eq!(faulty.proxy.client().round_trip(&look_request(1000)).status(), 503);
     // Three retries at once, the others at least 100 ms apart. A slow machine makes fewer.
@@ -170,7 +169,7 @@
 fn refused_connection_counts_as_endpoint_failure() {
     for error in ["ECONNREFUSED", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH"] {
         let upstream = healthy_upstream();
-        let faulty = FaultyProxy::start(&[&upstream], |_| ());
+        let faulty = Faulty::start(&[&upstream], |_| ());
         faulty.faults.replace_plan(json!({"rules": [{"call": "connect", "error": error}]}));
         // Each failure uses up one of the three attempts of the request.
         assert_eq!(
@@ -214,7 +213,7 @@
 #[test]
 fn request_before_shutdown_survives_connect_errors() {
     let upstream = healthy_upstream();
-    let faulty = FaultyProxy::start(&[&upstream], |_| ());
+    let faulty = Faulty::start(&[&upstream], |_| ());
     faulty.faults.replace_plan(json!({"rules": [{"call": "connect", "error": "ENOBUFS"}]}));
     let mut client = faulty.proxy.client();
     client.write(&post("pay", LONG_DEADLINE_MS, "", ""));
@@ -252,7 +251,7 @@
 fn disconnect_during_connect_errors_prevents_attempt() {
     let upstream = healthy_upstream();
     let faulty =
-        FaultyProxy::start(&[&upstream], |config| config["settings"]["limits"]["cancelling"] = json!(false));
+        Faulty::start(&[&upstream], |config| config["settings"]["limits"]["cancelling"] = json!(false));
     faulty.faults.replace_plan(json!({"rules": [{"call": "connect", "error": "ENOBUFS"}]}));
     let mut client = faulty.proxy.client();
     client.write(&post("pay", LONG_DEADLINE_MS, "", ""));
@@ -327,7 +326,7 @@
                 [Upstream::with_gated_first_response("yes"), Upstream::with_gated_first_response("yes")]
                     .into_iter()
                     .unzip();
-            let faulty = FaultyProxy::start(&upstreams.iter().collect::<Vec<_>>(), |_| ());
+            let faulty = Faulty::start(&upstreams.iter().collect::<Vec<_>>(), |_| ());
             let mut client = faulty.proxy.client();
             client.write(&if class == "look" {
                 look_request(LONG_DEADLINE_MS)
@@ -354,7 +353,7 @@
 fn clients_wait_while_accept_fails() {
     for error in ["ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPERM", "EINTR"] {
         let upstream = healthy_upstream();
-        let faulty = FaultyProxy::start(&[&upstream], |_| ());
+        let faulty = Faulty::start(&[&upstream], |_| ());
         faulty.faults.replace_plan(json!({"rules": [{"call": "accept4", "error": error}]}));
         let begun = Instant::now();
         let mut clients: Vec<Client> = (0..4).map(|_| faulty.proxy.client()).collect();
@@ -386,7 +385,7 @@
 #[test]
 fn accept_queue_survives_accept_errors_at_shutdown() {
     let upstream = healthy_upstream();
-    let faulty = FaultyProxy::start(&[&upstream], |_| ());
+    let faulty = Faulty::start(&[&upstream], |_| ());
     let mut idle = faulty.proxy.client();
     assert_eq!(idle.round_trip(&look_request(LONG_DEADLINE_MS)).status(), 200);
     faulty.faults.replace_plan(json!({"rules": [{"call": "accept4", "error": "ECONNABORTED"}]}));
