--- a/testbed/src/scale.rs
+++ b/testbed/src/scale.rs
@@ -134,17 +134,17 @@
     RunDefinition {
         name: "fleet-virtual-50us",
         about: "a fleet in virtual time, 50 us of service time per poll",
-        execute: virtual_fleet::lean,
+        execute: virtual_fleet::fast_discovery,
     },
     RunDefinition {
         name: "fleet-virtual-1ms",
         about: "a fleet in virtual time, 1 ms of service time per poll",
-        execute: virtual_fleet::slow,
+        execute: virtual_fleet::slow_discovery,
     },
     RunDefinition {
         name: "fleet-virtual-50ms",
         about: "a fleet in virtual time, 50 ms of service time per poll",
-        execute: virtual_fleet::as_reckoned,
+        execute: virtual_fleet::assumed_discovery,
     },
     RunDefinition {
         name: "retry-depth",
--- a/testbed/src/scale/depth.rs
+++ b/testbed/src/scale/depth.rs
@@ -1,5 +1,6 @@
-//! How repeats multiply where calls are nested: a row of levels, each with a client proxy that calls the next, and a leaf
-//! that fails. Played with the real decisions at every level, and with the rule of a budget alone; and reckoned.
+//! How retries multiply over nested calls: a chain of levels, each with a client proxy that calls the next
+//! level, and a failing leaf at the end. Simulated with the real decision module at every level and with the
+//! retry budget alone, and calculated.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -15,89 +16,91 @@
 use super::{Options, Point, Run, ScaleError};
 use crate::chance::{exponential, stream, unit};
 
-const AXIS: [u32; 7] = [1, 2, 3, 5, 8, 13, 21];
-/// Requests that each client proxy at the root is asked for in a second, as the operators have said.
-const ROOT_PER_S: f64 = 139.0;
-/// Order servers of each level: as many as a service has on average. With a handful all but one are ejected where all
-/// fail, and none is left for a repeat.
-const ENDPOINTS: u32 = 17;
-/// From a client proxy to an order server and back, what an order server does before it calls on, and what the leaf does.
-/// Supposed.
-const WAY: Millis = 1.0;
-const OWN: Millis = 1.0;
-const LEAF: Millis = 5.0;
-/// What a client at the root waits for. Below, it is what is left of that.
-const PATIENCE: Millis = 1_000.0;
-/// The leaf is sound for so long, and then fails.
-const SOUND: Millis = 10_000.0;
-const FAILING: Millis = 20_000.0;
-/// The first and the second part of the failures, by chance, of each attempt at the leaf.
-const FAILS: [f64; 2] = [1.0, 0.1];
+const DEPTHS: [u32; 7] = [1, 2, 3, 5, 8, 13, 21];
+/// Request rate of each client proxy at the root, as stated by the operators.
+const ROOT_REQUESTS_PER_S: f64 = 139.0;
+/// Order servers of each level, the average of a service. With only a few, all but one would be ejected when
+/// every attempt fails, and no endpoint would be left for a retry.
+const ENDPOINTS_PER_LEVEL: u32 = 17;
+/// Network round trip between a client proxy and an order server, an order server's own work before it calls
+/// the next level, and the work of the leaf. Assumed.
+const ROUND_TRIP_MS: Millis = 1.0;
+const OWN_WORK_MS: Millis = 1.0;
+const LEAF_WORK_MS: Millis = 5.0;
+/// Timeout of a client at the root. Lower levels get the remaining part of it.
+const CLIENT_TIMEOUT_MS: Millis = 1_000.0;
+/// The leaf is healthy for `HEALTHY_MS`, then fails for `FAILING_MS`, which is the measured part.
+const HEALTHY_MS: Millis = 10_000.0;
+const FAILING_MS: Millis = 20_000.0;
+/// Probability that an attempt at the leaf fails, one simulation for each.
+const FAILURE_RATES: [f64; 2] = [1.0, 0.1];
 
-/// What a first try adds to a level's budget, and the most it holds: `RETRY_SHARE` in `src/logic/dispatch.rs` and
-/// `RETRY_SAVED` in `src/logic.rs`.
-const SHARE: f64 = 0.15;
-const SAVED: f64 = 10.0;
-/// `attemptsCap` of the settings.
-const ATTEMPTS: u32 = 3;
-/// What is reckoned with in place of that, for each level or for the whole tree.
-const OTHER_SHARE: f64 = 0.1;
-/// Requests at the root where only the rule is played.
-const ROOTS: u32 = 20_000;
+/// What a first attempt adds to a level's retry budget, and the budget's maximum, in retries. The decision
+/// module has them as `RETRY_BUDGET_PER_REQUEST` in `balancer/src/logic/dispatch.rs` and `MAX_RETRY_BUDGET`
+/// in `balancer/src/logic.rs`.
+const RETRY_SHARE: f64 = 0.15;
+const MAX_SAVED_RETRIES: f64 = 10.0;
+/// Attempts of a request at one level, `attemptsCap` in the settings.
+const MAX_ATTEMPTS: u32 = 3;
+/// Alternative to `RETRY_SHARE`: calculated for each level, simulated and calculated for one budget of the
+/// whole tree.
+const ALTERNATIVE_SHARE: f64 = 0.1;
+/// Requests at the root of a simulation of the retry budget alone.
+const BUDGET_SIMULATION_REQUESTS: u32 = 20_000;
 
-enum What {
-    /// A request comes to the root.
+enum SimEvent {
+    /// A request arrives at the root.
     Root,
     Timer {
         level: usize,
         token: u64,
     },
-    /// An order server has done its own part.
-    Worked(Try),
-    End(Try, Outcome),
-    /// Nobody waits for it any longer.
-    TimeOut(Try),
+    /// An order server has finished its own work and calls the next level.
+    WorkDone(Attempt),
+    AttemptEnded(Attempt, Outcome),
+    /// The attempt's timeout has expired.
+    TimeOut(Attempt),
 }
 
-/// An attempt that left from this level.
+/// Identifies an attempt, which the client proxy of `level` sent.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct Try {
+struct Attempt {
     level: usize,
     id: RequestId,
     attempt: u32,
 }
 
 #[derive(Default)]
-struct Asked {
-    /// Whose work it is part of; nothing at the root.
-    by: Option<Try>,
+struct PendingRequest {
+    /// The attempt of the level above that this request serves; `None` at the root.
+    parent: Option<Attempt>,
     deadline: Millis,
     attempts: u32,
 }
 
 struct Level {
     balancer: Balancer,
-    requests: HashMap<RequestId, Asked>,
+    requests: HashMap<RequestId, PendingRequest>,
 }
 
-/// What was counted while the leaf failed.
+/// Counters of the time in which the leaf fails.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     roots: f64,
-    /// Of requests that ended meanwhile.
-    ended: f64,
+    /// Root requests that got their final response, served or not.
+    finished: f64,
     served: f64,
-    leaf: f64,
+    leaf_attempts: f64,
 }
 
-/// Real decisions at each level, on a virtual clock.
+/// The decision module at each level, in virtual time.
 struct Tree {
-    timeline: Timeline<What>,
+    timeline: Timeline<SimEvent>,
     levels: Vec<Level>,
-    /// When each attempt that is out was sent, and until when its answer is of use.
-    out: HashMap<Try, (Millis, Millis)>,
+    /// The attempts in flight: when each was sent, and when it times out.
+    in_flight: HashMap<Attempt, (Millis, Millis)>,
     next_id: u64,
-    fails: f64,
+    failure_rate: f64,
     counts: Counts,
     rng: Pcg32,
 }
@@ -113,101 +116,109 @@
         let mut tree = Tree {
             timeline: Timeline::default(),
             levels: levels?,
-            out: HashMap::new(),
+            in_flight: HashMap::new(),
             next_id: 0,
-            fails: 0.0,
+            failure_rate: 0.0,
             counts: Counts::default(),
             rng: stream(rng.next_u64(), "leaf"),
         };
         let endpoint = |n| EndpointEntry::new(EndpointId(n));
         for level in 0..depth as usize {
-            tree.feed(
+            tree.process(
                 level,
-                Event::EndpointUpdate(EndpointUpdate::FullSnapshot((0..ENDPOINTS).map(endpoint).collect())),
+                Event::EndpointUpdate(EndpointUpdate::FullSnapshot(
+                    (0..ENDPOINTS_PER_LEVEL).map(endpoint).collect(),
+                )),
             );
         }
-        tree.timeline.at(0.0, What::Root);
+        tree.timeline.schedule_at(0.0, SimEvent::Root);
         Ok(tree)
     }
 
-    fn run(&mut self, until: Millis) {
-        while let Some(what) = self.timeline.next(until) {
-            self.come(what);
+    fn run_until(&mut self, until: Millis) {
+        while let Some(event) = self.timeline.next(until) {
+            self.handle_event(event);
         }
     }
 
-    fn come(&mut self, what: What) {
-        match what {
-            What::Root => {
-                let next = exponential(&mut self.rng) * 1e3 / ROOT_PER_S;
-                self.timeline.after(next, What::Root);
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Root => {
+                let next = exponential(&mut self.rng) * 1e3 / ROOT_REQUESTS_PER_S;
+                self.timeline.schedule_after(next, SimEvent::Root);
                 self.counts.roots += 1.0;
-                self.ask(0, None, PATIENCE);
+                self.send_request(0, None, CLIENT_TIMEOUT_MS);
             }
-            What::Timer { level, token } => self.feed(level, Event::TimerFired { token }),
-            What::Worked(attempt) => {
-                // Whoever waits no longer has broken the connection off, before the work went on.
-                let Some(&(_, until)) = self.out.get(&attempt) else { return };
+            SimEvent::Timer { level, token } => self.process(level, Event::TimerFired { token }),
+            SimEvent::WorkDone(attempt) => {
+                // The attempt timed out or was cancelled: its connection is closed, so the order server stops
+                // working on it.
+                let Some(&(_, until)) = self.in_flight.get(&attempt) else { return };
                 if attempt.level + 1 < self.levels.len() {
-                    return self.ask(attempt.level + 1, Some(attempt), until - self.timeline.now());
+                    return self.send_request(attempt.level + 1, Some(attempt), until - self.timeline.now());
                 }
-                self.counts.leaf += 1.0;
-                let failed = unit(&mut self.rng) < self.fails;
+                self.counts.leaf_attempts += 1.0;
+                let failed = unit(&mut self.rng) < self.failure_rate;
                 let outcome = if failed { Outcome::Error } else { Outcome::Served };
-                self.timeline.after(LEAF + WAY / 2.0, What::End(attempt, outcome));
+                self.timeline.schedule_after(
+                    LEAF_WORK_MS + ROUND_TRIP_MS / 2.0,
+                    SimEvent::AttemptEnded(attempt, outcome),
+                );
             }
-            What::End(attempt, outcome) => self.end(attempt, outcome),
-            What::TimeOut(attempt) => self.end(attempt, Outcome::TimedOut),
+            SimEvent::AttemptEnded(attempt, outcome) => self.end_attempt(attempt, outcome),
+            SimEvent::TimeOut(attempt) => self.end_attempt(attempt, Outcome::TimedOut),
         }
     }
 
-    fn ask(&mut self, level: usize, by: Option<Try>, patience: Millis) {
+    fn send_request(&mut self, level: usize, parent: Option<Attempt>, timeout: Millis) {
         self.next_id += 1;
-        let (id, deadline) = (RequestId(self.next_id), self.timeline.now() + patience);
-        self.levels[level].requests.insert(id, Asked { by, deadline, attempts: 0 });
+        let (id, deadline) = (RequestId(self.next_id), self.timeline.now() + timeout);
+        self.levels[level].requests.insert(id, PendingRequest { parent, deadline, attempts: 0 });
         let metadata = RequestMetadata::default();
-        self.feed(level, Event::Request(NewRequest { id, timeout: patience, body_pending: false, metadata }));
+        self.process(level, Event::Request(NewRequest { id, timeout, body_pending: false, metadata }));
     }
 
-    /// An attempt is over, if it was not before.
-    fn end(&mut self, attempt: Try, outcome: Outcome) {
-        let Some((sent, _)) = self.out.remove(&attempt) else { return };
+    /// Ends an attempt, unless it has ended already.
+    fn end_attempt(&mut self, attempt: Attempt, outcome: Outcome) {
+        let Some((sent_at, _)) = self.in_flight.remove(&attempt) else { return };
         if outcome == Outcome::Served {
-            self.answer(attempt.level, attempt.id, true);
+            self.finish_request(attempt.level, attempt.id, true);
         }
-        let event = self.ended(attempt, outcome, sent);
-        self.feed(attempt.level, event);
+        let event = self.finished_event(attempt, outcome, sent_at);
+        self.process(attempt.level, event);
     }
 
-    fn ended(&self, attempt: Try, outcome: Outcome, sent: Millis) -> Event {
+    fn finished_event(&self, attempt: Attempt, outcome: Outcome, sent_at: Millis) -> Event {
         Event::AttemptFinished(AttemptEnd {
             id: attempt.id,
             attempt: attempt.attempt,
             outcome,
-            latency: self.timeline.now() - sent,
+            latency: self.timeline.now() - sent_at,
             request_ended: !self.levels[attempt.level].requests.contains_key(&attempt.id),
             load_report: LoadReport::default(),
             cannot_resend: false,
         })
     }
 
-    /// The final answer to a request: of the order server that asked, its own part has then succeeded or failed.
-    fn answer(&mut self, level: usize, id: RequestId, served: bool) {
+    /// Delivers the final response of a request. Below the root, it decides the outcome of the attempt one
+    /// level up.
+    fn finish_request(&mut self, level: usize, id: RequestId, served: bool) {
         match self.levels[level].requests.remove(&id) {
-            Some(Asked { by: Some(by), .. }) => {
+            Some(PendingRequest { parent: Some(parent), .. }) => {
                 let outcome = if served { Outcome::Served } else { Outcome::Error };
-                self.timeline.after(WAY / 2.0, What::End(by, outcome));
+                self.timeline.schedule_after(ROUND_TRIP_MS / 2.0, SimEvent::AttemptEnded(parent, outcome));
             }
-            Some(Asked { by: None, .. }) => {
-                self.counts.ended += 1.0;
+            Some(PendingRequest { parent: None, .. }) => {
+                self.counts.finished += 1.0;
                 self.counts.served += f64::from(u8::from(served));
             }
             None => {}
         }
     }
 
-    /// As the program's driver does it: an event, what is wanted, and all that follows at once.
-    fn feed(&mut self, level: usize, event: Event) {
+    /// Feeds an event to the decision module of a level and executes the actions, as the driver of the client
+    /// proxy does. Events that follow at once, from cancelled attempts, are fed as well.
+    fn process(&mut self, level: usize, event: Event) {
         let (mut events, mut actions) = (VecDeque::from([event]), Vec::new());
         while let Some(event) = events.pop_front() {
             self.levels[level].balancer.handle(self.timeline.now(), event, &mut actions);
@@ -215,14 +226,17 @@
                 match action {
                     Action::Send { id, timeout, .. } => self.send(level, id, timeout),
                     Action::Cancel { id, attempt } => {
-                        let attempt = Try { level, id, attempt };
-                        if let Some((sent, _)) = self.out.remove(&attempt) {
-                            events.push_back(self.ended(attempt, Outcome::Cancelled, sent));
+                        let attempt = Attempt { level, id, attempt };
+                        if let Some((sent_at, _)) = self.in_flight.remove(&attempt) {
+                            events.push_back(self.finished_event(attempt, Outcome::Cancelled, sent_at));
                         }
                     }
-                    Action::Reject { id, .. } | Action::Fail { id } => self.answer(level, id, false),
-                    Action::SetTimer { at, token } => self.timeline.at(at, What::Timer { level, token }),
-                    // The list stays as it is, and nothing is connected.
+                    Action::Reject { id, .. } | Action::Fail { id } => self.finish_request(level, id, false),
+                    Action::SetTimer { at, token } => {
+                        self.timeline.schedule_at(at, SimEvent::Timer { level, token })
+                    }
+                    // The remaining actions are about discovery and connections, which this simulation does
+                    // not have.
                     _ => {}
                 }
             }
@@ -231,124 +245,138 @@
 
     fn send(&mut self, level: usize, id: RequestId, timeout: Option<Millis>) {
         let now = self.timeline.now();
-        let Some(asked) = self.levels[level].requests.get_mut(&id) else { return };
-        let attempt = Try { level, id, attempt: asked.attempts };
-        asked.attempts += 1;
-        let until = timeout.map_or(asked.deadline, |timeout| asked.deadline.min(now + timeout));
-        self.out.insert(attempt, (now, until));
-        self.timeline.after(WAY / 2.0 + OWN, What::Worked(attempt));
-        self.timeline.at(until, What::TimeOut(attempt));
+        let Some(pending) = self.levels[level].requests.get_mut(&id) else { return };
+        let attempt = Attempt { level, id, attempt: pending.attempts };
+        pending.attempts += 1;
+        let until = timeout.map_or(pending.deadline, |timeout| pending.deadline.min(now + timeout));
+        self.in_flight.insert(attempt, (now, until));
+        self.timeline.schedule_after(ROUND_TRIP_MS / 2.0 + OWN_WORK_MS, SimEvent::WorkDone(attempt));
+        self.timeline.schedule_at(until, SimEvent::TimeOut(attempt));
     }
 }
 
-/// Real decisions at all levels: attempts at the leaf for each request at the root, and the part of these served.
-fn decided(depth: u32, fails: f64, rng: &mut Pcg32) -> Result<(f64, f64), ScaleError> {
+/// Simulates the decision module at all levels. Returns the attempts at the leaf for each request at the
+/// root, and the share of root requests that were served.
+fn simulate_decisions(depth: u32, failure_rate: f64, rng: &mut Pcg32) -> Result<(f64, f64), ScaleError> {
     let mut tree = Tree::new(depth, rng)?;
-    tree.run(SOUND);
-    (tree.fails, tree.counts) = (fails, Counts::default());
-    tree.run(SOUND + FAILING);
-    let Counts { roots, ended, served, leaf } = tree.counts;
-    Ok((leaf / roots.max(1.0), served / ended.max(1.0)))
+    tree.run_until(HEALTHY_MS);
+    (tree.failure_rate, tree.counts) = (failure_rate, Counts::default());
+    tree.run_until(HEALTHY_MS + FAILING_MS);
+    let Counts { roots, finished, served, leaf_attempts } = tree.counts;
+    Ok((leaf_attempts / roots.max(1.0), served / finished.max(1.0)))
 }
 
-/// A budget of repeats.
+/// A retry budget: each first attempt adds `share` of a retry.
 struct Budget {
     share: f64,
-    saved: f64,
+    tokens: f64,
 }
 
 impl Budget {
     fn new(share: f64) -> Budget {
-        Budget { share, saved: SAVED }
+        Budget { share, tokens: MAX_SAVED_RETRIES }
     }
 
-    fn first_try(&mut self) {
-        self.saved = (self.saved + self.share).min(SAVED);
+    fn record_first_attempt(&mut self) {
+        self.tokens = (self.tokens + self.share).min(MAX_SAVED_RETRIES);
     }
 
-    fn repeat(&mut self) -> bool {
-        let may = self.saved >= 1.0;
-        self.saved -= f64::from(u8::from(may));
-        may
+    fn take_retry(&mut self) -> bool {
+        let allowed = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(allowed));
+        allowed
     }
 }
 
-/// Only the rule is played: who may repeat, without health, load, time or chance but the leaf's.
-struct Rule<'a> {
-    /// One for each level, or one for all of the tree.
+/// Simulates the retry budget alone, without health, load or time. The only randomness is whether the leaf
+/// fails.
+struct BudgetSimulation<'a> {
+    /// One for each level, or a single one for the whole tree.
     budgets: Vec<Budget>,
     depth: usize,
-    fails: f64,
+    failure_rate: f64,
     rng: &'a mut Pcg32,
-    leaf: f64,
+    leaf_attempts: f64,
 }
 
-impl Rule<'_> {
-    fn call(&mut self, level: usize) -> bool {
+impl BudgetSimulation<'_> {
+    fn call_succeeds(&mut self, level: usize) -> bool {
         if level == self.depth {
-            self.leaf += 1.0;
-            return unit(self.rng) >= self.fails;
+            self.leaf_attempts += 1.0;
+            return unit(self.rng) >= self.failure_rate;
         }
-        let whole_tree = self.budgets.len() == 1 && self.depth > 1;
-        let budget = if whole_tree { 0 } else { level };
-        // The budget of the whole tree grows with what comes from outside alone.
-        if !whole_tree || level == 0 {
-            self.budgets[budget].first_try();
+        let shared_budget = self.budgets.len() == 1 && self.depth > 1;
+        let budget = if shared_budget { 0 } else { level };
+        // The budget of the whole tree grows with requests from outside only, not with calls between levels.
+        if !shared_budget || level == 0 {
+            self.budgets[budget].record_first_attempt();
         }
-        (0..ATTEMPTS).any(|attempt| (attempt == 0 || self.budgets[budget].repeat()) && self.call(level + 1))
+        (0..MAX_ATTEMPTS).any(|attempt| {
+            (attempt == 0 || self.budgets[budget].take_retry()) && self.call_succeeds(level + 1)
+        })
     }
 }
 
-/// As [`decided`], by the rule alone.
-fn ruled(budgets: Vec<Budget>, depth: u32, fails: f64, rng: &mut Pcg32) -> (f64, f64) {
-    let mut rule = Rule { budgets, depth: depth as usize, fails, rng, leaf: 0.0 };
-    let served = (0..ROOTS).filter(|_| rule.call(0)).count();
-    (rule.leaf / f64::from(ROOTS), served as f64 / f64::from(ROOTS))
+/// Returns the same as [`simulate_decisions`], for the retry budget alone.
+fn simulate_budgets(budgets: Vec<Budget>, depth: u32, failure_rate: f64, rng: &mut Pcg32) -> (f64, f64) {
+    let mut simulation =
+        BudgetSimulation { budgets, depth: depth as usize, failure_rate, rng, leaf_attempts: 0.0 };
+    let served = (0..BUDGET_SIMULATION_REQUESTS).filter(|_| simulation.call_succeeds(0)).count();
+    (
+        simulation.leaf_attempts / f64::from(BUDGET_SIMULATION_REQUESTS),
+        served as f64 / f64::from(BUDGET_SIMULATION_REQUESTS),
+    )
 }
 
 fn point(depth: u32, rng: &mut Pcg32) -> Result<Point, ScaleError> {
     let mut figures = Vec::new();
-    for (fails, name) in FAILS.into_iter().zip(["all_fail", "tenth_fails"]) {
-        let each = |share| (0..depth).map(|_| Budget::new(share)).collect::<Vec<_>>();
-        for (how, (attempts, served)) in [
-            ("played_decisions", decided(depth, fails, rng)?),
-            ("played_level_budget", ruled(each(SHARE), depth, fails, rng)),
-            ("played_tree_budget", ruled(vec![Budget::new(OTHER_SHARE)], depth, fails, rng)),
+    for (failure_rate, name) in FAILURE_RATES.into_iter().zip(["all_fail", "tenth_fails"]) {
+        let budget_per_level = |share| (0..depth).map(|_| Budget::new(share)).collect::<Vec<_>>();
+        for (model, (attempts, served)) in [
+            ("played_decisions", simulate_decisions(depth, failure_rate, rng)?),
+            (
+                "played_level_budget",
+                simulate_budgets(budget_per_level(RETRY_SHARE), depth, failure_rate, rng),
+            ),
+            (
+                "played_tree_budget",
+                simulate_budgets(vec![Budget::new(ALTERNATIVE_SHARE)], depth, failure_rate, rng),
+            ),
         ] {
-            figures.push((format!("{how}_{name}_attempts"), attempts));
-            figures.push((format!("{how}_{name}_served_share"), served));
+            figures.push((format!("{model}_{name}_attempts"), attempts));
+            figures.push((format!("{model}_{name}_served_share"), served));
         }
     }
     let levels = depth as i32;
-    figures.push(("arithmetic_15_percent_each_attempts".to_owned(), (1.0 + SHARE).powi(levels)));
-    figures.push(("arithmetic_10_percent_each_attempts".to_owned(), (1.0 + OTHER_SHARE).powi(levels)));
-    figures.push(("arithmetic_10_percent_tree_attempts".to_owned(), 1.0 + OTHER_SHARE));
+    figures.push(("arithmetic_15_percent_each_attempts".to_owned(), (1.0 + RETRY_SHARE).powi(levels)));
+    figures.push(("arithmetic_10_percent_each_attempts".to_owned(), (1.0 + ALTERNATIVE_SHARE).powi(levels)));
+    figures.push(("arithmetic_10_percent_tree_attempts".to_owned(), 1.0 + ALTERNATIVE_SHARE));
     Ok(Point { x: f64::from(depth), figures: figures.into_iter().collect() })
 }
 
 /// The run `retry-depth`.
 ///
 /// # Errors
-/// Where the settings do not fit.
+/// Returns an error if the settings are invalid.
 pub fn make(options: &Options) -> Result<Run, ScaleError> {
     let mut rng = stream(options.seed, "retry-depth");
     let points: Result<Vec<Point>, ScaleError> =
-        AXIS.into_iter().map(|depth| point(depth, &mut rng)).collect();
+        DEPTHS.into_iter().map(|depth| point(depth, &mut rng)).collect();
     let fixed = [
         ("what", "attempts at the leaf for each request at the root, and the part of these served, while the leaf fails always (all_fail) or one attempt in ten (tenth_fails)".to_owned()),
         (
             "played_decisions",
             format!(
-                "the decision module at each level, virtual time: {ROOT_PER_S} requests a second, {ENDPOINTS} order servers a level, {} s sound, then {} s failing; {PATIENCE} ms of patience, of which lower levels get what is left",
-                SOUND / 1e3,
-                FAILING / 1e3
+                "the decision module at each level, virtual time: {ROOT_REQUESTS_PER_S} requests a second, {ENDPOINTS_PER_LEVEL} order servers a level, {} s sound, then {} s failing; {CLIENT_TIMEOUT_MS} ms of patience, of which lower levels get what is left",
+                HEALTHY_MS / 1e3,
+                FAILING_MS / 1e3
             ),
         ),
         (
             "played_level_budget",
-            format!("only the rule of src/logic/dispatch.rs: {SHARE} of the first tries of a level, {SAVED} saved at the most, {ATTEMPTS} attempts; {ROOTS} requests"),
+            format!("only the rule of src/logic/dispatch.rs: {RETRY_SHARE} of the first tries of a level, {MAX_SAVED_RETRIES} saved at the most, {MAX_ATTEMPTS} attempts; {BUDGET_SIMULATION_REQUESTS} requests"),
         ),
-        ("played_tree_budget", format!("only a rule: {OTHER_SHARE} of the requests at the root for all levels together; no such thing is built")),
+        ("played_tree_budget", format!("only a rule: {ALTERNATIVE_SHARE} of the requests at the root for all levels together; no such thing is built")),
         ("arithmetic_*", "reckoned, not played: (1 + share) to the power of the depth, or once for the tree".to_owned()),
         ("left out", "calls to more than one service, repeats by clients, order servers' load".to_owned()),
     ];
--- a/testbed/src/scale/depth/tests.rs
+++ b/testbed/src/scale/depth/tests.rs
@@ -4,29 +4,32 @@
     stream(1, "test")
 }
 
-/// Guards against a tree whose levels lose or double requests by themselves.
+/// Without failures there is nothing to retry. Levels that lost or duplicated requests on their own would
+/// distort the number of attempts at the leaf.
 #[test]
-fn a_sound_tree_calls_the_leaf_once_for_each_request() {
-    let (attempts, served) = decided(5, 0.0, &mut rng()).expect("usable");
+fn healthy_tree_calls_leaf_once_per_request() {
+    let (attempts, served) = simulate_decisions(5, 0.0, &mut rng()).expect("settings are valid");
     assert!((attempts - 1.0).abs() < 0.01 && served == 1.0, "{attempts} {served}");
-    assert_eq!(ruled(vec![Budget::new(0.1)], 5, 0.0, &mut rng()), (1.0, 1.0));
+    assert_eq!(simulate_budgets(vec![Budget::new(0.1)], 5, 0.0, &mut rng()), (1.0, 1.0));
 }
 
-/// Guards against a failure that the level above does not see, and against repeats that nobody makes.
+/// A failure at the leaf has to reach the level above, which then retries. If it did not, the tree would
+/// report a retry factor of 1.
 #[test]
-fn a_leaf_that_fails_is_tried_again() {
-    let (attempts, served) = decided(1, 0.1, &mut rng()).expect("usable");
+fn failing_leaf_is_retried() {
+    let (attempts, served) = simulate_decisions(1, 0.1, &mut rng()).expect("settings are valid");
     assert!(attempts > 1.05 && served > 0.95, "{attempts} {served}");
-    let (_, none) = decided(3, 1.0, &mut rng()).expect("usable");
+    let (_, none) = simulate_decisions(3, 1.0, &mut rng()).expect("settings are valid");
     assert!(none < 0.01, "{none}");
 }
 
-/// Guards against budgets that hold another share than they say: by level they multiply, over the tree they do not.
+/// Budgets of each level multiply to 1.15^8, while one budget of the whole tree gives 1.1. Other numbers mean
+/// that a budget grants more or fewer retries than its share.
 #[test]
-fn budgets_multiply_by_level_and_not_over_the_tree() {
-    let each = (0..8).map(|_| Budget::new(SHARE)).collect();
-    let (by_level, _) = ruled(each, 8, 1.0, &mut rng());
+fn level_budgets_multiply_and_tree_budget_does_not() {
+    let budget_per_level = (0..8).map(|_| Budget::new(RETRY_SHARE)).collect();
+    let (by_level, _) = simulate_budgets(budget_per_level, 8, 1.0, &mut rng());
     assert!((by_level / 1.15f64.powi(8) - 1.0).abs() < 0.02, "{by_level}");
-    let (over_tree, _) = ruled(vec![Budget::new(0.1)], 8, 1.0, &mut rng());
-    assert!((over_tree - 1.1).abs() < 0.01, "{over_tree}");
+    let (tree_budget, _) = simulate_budgets(vec![Budget::new(0.1)], 8, 1.0, &mut rng());
+    assert!((tree_budget - 1.1).abs() < 0.01, "{tree_budget}");
 }
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 use simulator_adapter::{WireSettings, convert_settings};
 
-use super::law::{ENDPOINTS, REGIONS};
+use super::law::{ENDPOINTS, ZONE_REGIONS};
 use super::{Options, Point, Run, ScaleError};
 use crate::chance;
 
@@ -96,7 +96,7 @@
         let balancer = Balancer::new(settings(me, fleet)?, seed);
         let balancer = balancer.map_err(|error| ScaleError::SetUp(error.to_string()))?;
         let reader = ListReader {
-            zones: numbered_names("z", REGIONS.len() as u32),
+            zones: numbered_names("z", ZONE_REGIONS.len() as u32),
             kinds: numbered_names("k", KINDS),
             endpoints: Rc::default(),
             ids: Rc::<EndpointIds>::default(),
@@ -214,14 +214,14 @@
         json!({"name": name, "aim": objective_ms, "hardLimit": 5.0 * objective_ms, "semantics": semantics,
                "points": weight, "keyScope": "zone", "keyTtl": 2000.0})
     };
-    let zone = me as usize % REGIONS.len();
+    let zone = me as usize % ZONE_REGIONS.len();
     let wire = json!({
         "me": me, "balancers": fleet, "discovery": "subscribe", "tick": 4.0,
         "classes": [class("look", 200.0, "safe", 1.0), class("pay", 300.0, "unsafe", 4.0),
                     class("book", 300.0, "keyed", 2.0)],
         "contract": {"cold": 8000.0, "coldFrom": 0.3, "drainGrace": 1500.0, "fall": 1500.0, "fallMultiple": 3.0,
                      "graceToAnswer": 16.0},
-        "kinds": numbered_names("k", KINDS), "zones": numbered_names("z", REGIONS.len() as u32), "zone": zone,
+        "kinds": numbered_names("k", KINDS), "zones": numbered_names("z", ZONE_REGIONS.len() as u32), "zone": zone,
         "limits": {"attemptsCap": 3, "cancelling": true, "connIdle": 10000.0, "dialTimeout": 100.0,
                    "maxRetryAfter": 1200.0, "retryAfter": true, "secondCopies": false},
         "report": {"fields": ["utilization"], "how": "answers"}
@@ -229,14 +229,14 @@
     let wire: Result<WireSettings, _> = serde_json::from_value(wire);
     let mut settings =
         convert_settings(wire.map_err(|error| ScaleError::SetUp(format!("settings: {error}")))?);
-    settings.locality = Some(Locality { own_zone: Some(zone), regions: REGIONS.to_vec() });
+    settings.locality = Some(Locality { own_zone: Some(zone), regions: ZONE_REGIONS.to_vec() });
     Ok(settings)
 }
 
 /// The list entry of an endpoint, as discovery encodes it.
 pub fn entry_json(endpoint: u32, since_ms: u64, status: &str) -> String {
     let [_, high, mid, low] = endpoint.to_be_bytes();
-    let (zone, kind) = (endpoint as usize % REGIONS.len(), endpoint / REGIONS.len() as u32 % KINDS);
+    let (zone, kind) = (endpoint as usize % ZONE_REGIONS.len(), endpoint / ZONE_REGIONS.len() as u32 % KINDS);
     format!(
         r#"{{"name":"n{endpoint:05}","address":"10.{high}.{mid}.{low}:7000","zone":"z{zone}","type":"k{kind}","group":{},"status":"{status}","weight":1.0,"since_ms":{since_ms}}}"#,
         endpoint % 97
--- a/testbed/src/scale/law.rs
+++ b/testbed/src/scale/law.rs
@@ -1,5 +1,6 @@
-//! A supposed fleet: how large its services are, which ones each of them calls, and so what one client proxy has to hold.
-//! Nobody has told us the real shape; the law is here to be replaced by it.
+//! A model of the fleet: the sizes of its services, and which services each of them calls, which gives the
+//! number of endpoints that a client proxy has in its list. The real distribution is not known and should
+//! replace this model.
 
 use std::collections::BTreeMap;
 
@@ -9,121 +10,126 @@
 use super::{Options, Point, Run, ScaleError};
 use crate::chance;
 
-/// As the operators have said.
+/// Number of services, as stated by the operators.
 pub const SERVICES: usize = 2_100;
-/// Order servers of all services, each with its client proxy. As the operators have said.
+/// Order servers of all services, each with its client proxy, as stated by the operators.
 pub const ENDPOINTS: u32 = 36_000;
-/// By zone: its region. As many as the operators have said; which are where is supposed.
-pub const REGIONS: [usize; 9] = [0, 0, 0, 1, 1, 2, 2, 3, 3];
-/// The size of the i-th largest service goes by 1 / i to this power. Supposed: as a rule skews of this kind are between a
-/// half and one.
+/// The region of each zone. The numbers of zones and regions are the operators'; which zone is in which
+/// region is assumed.
+pub const ZONE_REGIONS: [usize; 9] = [0, 0, 0, 1, 1, 2, 2, 3, 3];
+/// Exponent of the distribution of sizes: the i-th largest service has a size proportional to `1 / i^SKEW`.
+/// Assumed; such exponents are usually between 0.5 and 1.
 pub const SKEW: f64 = 0.8;
-/// How many services one calls: each number in this range as likely as another, 20 on average. Supposed.
-const CALLS: std::ops::RangeInclusive<u32> = 10..=30;
+/// The number of services that one service calls, uniformly distributed, 20 on average. Assumed.
+const CALLED_SERVICES: std::ops::RangeInclusive<u32> = 10..=30;
 
-/// Who there is, and who calls whom.
+/// The services of the fleet and the calls between them.
 pub struct Fleet {
-    /// Endpoints of each service, the largest first.
+    /// Number of endpoints of each service, largest first.
     pub sizes: Vec<u32>,
-    /// By service: those that it calls, by number, without itself. All its client proxies call the same ones.
+    /// For each service the indices of the services that it calls, itself excluded. All its client proxies
+    /// call the same.
     pub calls: Vec<Vec<usize>>,
 }
 
 impl Fleet {
-    /// Sizes are the same for every seed; who calls whom is drawn, each service as likely as another.
+    /// Generates a fleet. The sizes are the same for every seed; the called services are drawn uniformly.
     pub fn draw(seed: u64) -> Fleet {
         let sizes = sizes();
         let mut rng = chance::stream(seed, "calls");
-        let calls = (0..SERVICES).map(|caller| called(&mut rng, caller)).collect();
+        let calls = (0..SERVICES).map(|caller| draw_callees(&mut rng, caller)).collect();
         Fleet { sizes, calls }
     }
 
-    /// Endpoints that each client proxy of this service has to hold.
-    pub fn held_by(&self, service: usize) -> u32 {
-        self.calls[service].iter().map(|&called| self.sizes[called]).sum()
+    /// Number of endpoints in the list of each client proxy of this service.
+    pub fn endpoints_called_by(&self, service: usize) -> u32 {
+        self.calls[service].iter().map(|&callee| self.sizes[callee]).sum()
     }
 
-    /// Of the 20 largest services.
-    pub fn worst(&self) -> u32 {
+    /// Number of endpoints of the 20 largest services together.
+    pub fn twenty_largest(&self) -> u32 {
         self.sizes[..20].iter().sum()
     }
 
-    /// By service: the client proxies that a change of one of its endpoints concerns.
-    pub fn concerned(&self) -> Vec<u32> {
-        let mut concerned = vec![0; SERVICES];
+    /// For each service the number of client proxies that call it, and so are affected by a change of one of
+    /// its endpoints.
+    pub fn affected_proxies(&self) -> Vec<u32> {
+        let mut affected_proxies = vec![0; SERVICES];
         for (calls, size) in self.calls.iter().zip(&self.sizes) {
-            calls.iter().for_each(|&called| concerned[called] += size);
+            calls.iter().for_each(|&callee| affected_proxies[callee] += size);
         }
-        concerned
+        affected_proxies
     }
 }
 
-/// `c / i^SKEW`, rounded down and at least 1, with the largest `c` that does not pass [`ENDPOINTS`]; what is left goes
-/// one each to the largest services.
+/// `scale / i^SKEW`, rounded down and at least 1, with the largest `scale` whose sum does not exceed
+/// [`ENDPOINTS`]. The remaining endpoints go to the largest services, one to each.
 fn sizes() -> Vec<u32> {
-    let with = |c: f64| -> Vec<u32> {
-        (1..=SERVICES).map(|i| ((c / (i as f64).powf(SKEW)) as u32).max(1)).collect()
+    let sizes_for = |scale: f64| -> Vec<u32> {
+        (1..=SERVICES).map(|rank| ((scale / (rank as f64).powf(SKEW)) as u32).max(1)).collect()
     };
-    let (mut low, mut high) = (1.0, f64::from(ENDPOINTS));
+    let (mut lower, mut upper) = (1.0, f64::from(ENDPOINTS));
     for _ in 0..60 {
-        let c = (low + high) / 2.0;
-        let fits = with(c).iter().sum::<u32>() <= ENDPOINTS;
-        (low, high) = if fits { (c, high) } else { (low, c) };
+        let scale = (lower + upper) / 2.0;
+        let fits = sizes_for(scale).iter().sum::<u32>() <= ENDPOINTS;
+        (lower, upper) = if fits { (scale, upper) } else { (lower, scale) };
     }
-    let mut sizes = with(low);
-    let left = ENDPOINTS - sizes.iter().sum::<u32>();
-    sizes.iter_mut().take(left as usize).for_each(|size| *size += 1);
+    let mut sizes = sizes_for(lower);
+    let remainder = ENDPOINTS - sizes.iter().sum::<u32>();
+    sizes.iter_mut().take(remainder as usize).for_each(|size| *size += 1);
     sizes
 }
 
-fn called(rng: &mut Pcg32, caller: usize) -> Vec<usize> {
-    let count = CALLS.start() + rng.next_u32() % (CALLS.end() - CALLS.start() + 1);
-    let mut called = Vec::new();
-    while called.len() < count as usize {
+fn draw_callees(rng: &mut Pcg32, caller: usize) -> Vec<usize> {
+    let count =
+        CALLED_SERVICES.start() + rng.next_u32() % (CALLED_SERVICES.end() - CALLED_SERVICES.start() + 1);
+    let mut callees = Vec::new();
+    while callees.len() < count as usize {
         let service = (chance::unit(rng) * SERVICES as f64) as usize;
-        if service != caller && !called.contains(&service) {
-            called.push(service);
+        if service != caller && !callees.contains(&service) {
+            callees.push(service);
         }
     }
-    called
+    callees
 }
 
-/// The value that so many percent of the weight do not pass.
+/// The weighted percentile of `(value, weight)` pairs: the smallest value that at least `percent` of the
+/// weight is at or below.
 fn percentile(values: &mut [(u32, u32)], percent: f64) -> u32 {
     values.sort_unstable();
-    let all: u64 = values.iter().map(|(_, weight)| u64::from(*weight)).sum();
-    let wanted = all as f64 * percent / 100.0;
-    let mut below = 0.0;
+    let total_weight: u64 = values.iter().map(|(_, weight)| u64::from(*weight)).sum();
+    let target = total_weight as f64 * percent / 100.0;
+    let mut cumulative = 0.0;
     let found = values.iter().find(|(_, weight)| {
-        below += f64::from(*weight);
-        below >= wanted
+        cumulative += f64::from(*weight);
+        cumulative >= target
     });
     found.or(values.last()).map_or(0, |(value, _)| *value)
 }
 
-/// The mean by weight.
+/// The weighted mean of `(value, weight)` pairs.
 fn mean(values: &[(u32, u32)]) -> f64 {
-    let all: f64 = values.iter().map(|(_, weight)| f64::from(*weight)).sum();
-    values.iter().map(|(value, weight)| f64::from(*value) * f64::from(*weight)).sum::<f64>() / all
+    let total_weight: f64 = values.iter().map(|(_, weight)| f64::from(*weight)).sum();
+    values.iter().map(|(value, weight)| f64::from(*value) * f64::from(*weight)).sum::<f64>() / total_weight
 }
 
-/// The run `services`: drawn, not measured.
+/// The run `services`: generated from the model, not measured.
 ///
 /// # Errors
-/// None at present.
+/// Never fails; the signature is that of all runs.
 pub fn make(options: &Options) -> Result<Run, ScaleError> {
     let fleet = Fleet::draw(options.seed);
-    // Each with as many client proxies as the service has.
-    let mut held: Vec<(u32, u32)> =
-        (0..SERVICES).map(|service| (fleet.held_by(service), fleet.sizes[service])).collect();
-    // Each with as many endpoints as the service has: one of these changes.
-    let concerned = fleet.concerned().into_iter();
-    let mut concerned: Vec<(u32, u32)> = concerned.zip(fleet.sizes.iter().copied()).collect();
+    // Weighted by the number of client proxies of the service.
+    let mut endpoint_counts: Vec<(u32, u32)> =
+        (0..SERVICES).map(|service| (fleet.endpoints_called_by(service), fleet.sizes[service])).collect();
+    // Weighted by the number of endpoints of the service, one of which changes.
+    let affected_proxies = fleet.affected_proxies().into_iter();
+    let mut affected_proxies: Vec<(u32, u32)> = affected_proxies.zip(fleet.sizes.iter().copied()).collect();
     let points = [1.0, 5.0, 10.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 100.0].map(|percent| Point {
         x: percent,
         figures: BTreeMap::from([
-            ("endpoints_called".to_owned(), f64::from(percentile(&mut held, percent))),
-            ("client_proxies_concerned".to_owned(), f64::from(percentile(&mut concerned, percent))),
+            ("endpoints_called".to_owned(), f64::from(percentile(&mut endpoint_counts, percent))),
+            ("client_proxies_concerned".to_owned(), f64::from(percentile(&mut affected_proxies, percent))),
         ]),
     });
     let fixed = [
@@ -139,14 +145,14 @@
             "services called",
             format!(
                 "{} to {}, each number and each service as likely as another; supposed",
-                CALLS.start(),
-                CALLS.end()
+                CALLED_SERVICES.start(),
+                CALLED_SERVICES.end()
             ),
         ),
-        ("endpoints_called, mean over client proxies", format!("{:.1}", mean(&held))),
-        ("endpoints_called by one that calls the 20 largest", fleet.worst().to_string()),
-        ("client_proxies_concerned, mean over endpoints", format!("{:.1}", mean(&concerned))),
-        ("zones, by region", format!("{REGIONS:?}")),
+        ("endpoints_called, mean over client proxies", format!("{:.1}", mean(&endpoint_counts))),
+        ("endpoints_called by one that calls the 20 largest", fleet.twenty_largest().to_string()),
+        ("client_proxies_concerned, mean over endpoints", format!("{:.1}", mean(&affected_proxies))),
+        ("zones, by region", format!("{ZONE_REGIONS:?}")),
     ];
     Ok(Run {
         run: "services".to_owned(),
--- a/testbed/src/scale/law/tests.rs
+++ b/testbed/src/scale/law/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 
-/// Guards against a fleet of another size than the one asked for.
+/// Rounding the sizes down loses endpoints; without the remainder being distributed the fleet would be too
+/// small.
 #[test]
-fn the_sizes_are_skewed_and_add_up() {
+fn service_sizes_are_skewed_and_sum_to_fleet() {
     let sizes = sizes();
     assert_eq!((sizes.len(), sizes.iter().sum::<u32>()), (SERVICES, ENDPOINTS));
     assert!(sizes.is_sorted_by(|larger, smaller| larger >= smaller) && sizes[SERVICES - 1] >= 1);
@@ -10,32 +11,37 @@
     assert!((f64::from(sizes[99]) - expected).abs() < 2.0, "{} {expected}", sizes[99]);
 }
 
-/// Guards against a mean that is off what the operators have said, and against a service that calls itself.
+/// The operators state about 340 endpoints for each client proxy; the model has to reproduce that mean. A
+/// service that called itself would count its own endpoints.
 #[test]
-fn a_client_proxy_calls_about_340_endpoints() {
-    let (fleet, again) = (Fleet::draw(3), Fleet::draw(3));
-    assert_eq!(fleet.calls, again.calls);
+fn client_proxy_calls_about_340_endpoints() {
+    let (fleet, same_seed) = (Fleet::draw(3), Fleet::draw(3));
+    assert_eq!(fleet.calls, same_seed.calls);
     assert_ne!(fleet.calls, Fleet::draw(4).calls);
     for (caller, calls) in fleet.calls.iter().enumerate() {
-        assert!(!calls.contains(&caller) && CALLS.contains(&(calls.len() as u32)));
+        assert!(!calls.contains(&caller) && CALLED_SERVICES.contains(&(calls.len() as u32)));
     }
-    let held: Vec<(u32, u32)> = (0..SERVICES).map(|s| (fleet.held_by(s), 1)).collect();
-    assert!((300.0..380.0).contains(&mean(&held)), "{}", mean(&held));
-    assert!(held.iter().all(|(held, _)| *held < fleet.worst()));
+    let endpoint_counts: Vec<(u32, u32)> =
+        (0..SERVICES).map(|service| (fleet.endpoints_called_by(service), 1)).collect();
+    assert!((300.0..380.0).contains(&mean(&endpoint_counts)), "{}", mean(&endpoint_counts));
+    assert!(endpoint_counts.iter().all(|(count, _)| *count < fleet.twenty_largest()));
 }
 
-/// Guards against endpoints counted as concerned that are not: both sides count the same pairs of caller and called.
+/// Endpoints called by all client proxies, and client proxies affected by all endpoints, are the same pairs
+/// counted from both sides. Different sums mean that one side counts pairs that do not exist.
 #[test]
-fn who_is_concerned_mirrors_who_calls() {
+fn affected_proxies_match_callers() {
     let fleet = Fleet::draw(1);
-    let pairs = |of: u32, by: u32| u64::from(of) * u64::from(by);
-    let held: u64 = (0..SERVICES).map(|s| pairs(fleet.held_by(s), fleet.sizes[s])).sum();
-    let concerned: u64 = fleet.concerned().into_iter().zip(&fleet.sizes).map(|(c, &s)| pairs(c, s)).sum();
-    assert_eq!(held, concerned);
+    let pairs = |count: u32, size: u32| u64::from(count) * u64::from(size);
+    let endpoint_pairs: u64 =
+        (0..SERVICES).map(|service| pairs(fleet.endpoints_called_by(service), fleet.sizes[service])).sum();
+    let proxy_pairs: u64 =
+        fleet.affected_proxies().into_iter().zip(&fleet.sizes).map(|(count, &size)| pairs(count, size)).sum();
+    assert_eq!(endpoint_pairs, proxy_pairs);
 }
 
 #[test]
-fn a_percentile_goes_by_weight() {
+fn percentile_is_weighted() {
     let mut values = [(10, 1), (30, 1), (20, 98)];
-    assert_eq!([1.0, 2.0, 99.0, 100.0].map(|p| percentile(&mut values, p)), [10, 20, 20, 30]);
+    assert_eq!([1.0, 2.0, 99.0, 100.0].map(|percent| percentile(&mut values, percent)), [10, 20, 20, 30]);
 }
--- a/testbed/src/scale/page.rs
+++ b/testbed/src/scale/page.rs
@@ -179,7 +179,7 @@
         let figures: BTreeSet<&String> = points().flat_map(|point| point.figures.keys()).collect();
         for figure in figures {
             let all: Vec<f64> = points().filter_map(|point| point.figures.get(figure).copied()).collect();
-            let fit = Fit::of(seeds, figure);
+            let fit = Fit::of_figure(seeds, figure);
             let of = |what: fn(&Fit) -> f64| fit.map_or_else(|| "-".to_owned(), |fit| written(what(&fit)));
             let cells = [
                 format!("`{name}`"),
--- a/testbed/src/scale/report.rs
+++ b/testbed/src/scale/report.rs
@@ -45,7 +45,8 @@
         for figure in figures {
             let svg =
                 chart(seeds, figure, &first.axis).map_err(|error| format!("{name}, {figure}: {error}"))?;
-            let line = Fit::of(seeds, figure).map_or("no line through these".to_owned(), |fit| told(&fit));
+            let line =
+                Fit::of_figure(seeds, figure).map_or("no line through these".to_owned(), |fit| told(&fit));
             say(format!("<figure>{svg}<figcaption>{}</figcaption></figure>", escape(&line)));
         }
     }
@@ -134,7 +135,7 @@
             .y_label_formatter(&|place| short(y.value(*place)))
             .light_line_style(WHITE)
             .draw()?;
-        if let Some(fit) = Fit::of(seeds, figure) {
+        if let Some(fit) = Fit::of_figure(seeds, figure) {
             let places = (0..=PIECES).map(|n| x.from + (x.to - x.from) * n as f64 / PIECES as f64);
             let line = places.map(|place| (place, y.place(fit.at(x.value(place)))));
             let drawn = line.filter(|(_, y_at)| (y.from..=y.to).contains(y_at));
--- a/testbed/src/scale/timeline.rs
+++ b/testbed/src/scale/timeline.rs
@@ -1,48 +1,48 @@
-//! Virtual time: what comes next, and nobody waits for it.
+//! Virtual time: an event queue whose clock jumps from one event to the next.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 use balancer::Millis;
 
-struct Due<T> {
+struct Scheduled<T> {
     at: Millis,
-    /// Of two at the same time the one that was put in first comes first.
-    turn: u64,
-    what: T,
+    /// Orders events of the same time by when they were scheduled.
+    sequence: u64,
+    event: T,
 }
 
-impl<T> Ord for Due<T> {
-    /// The greatest comes first out of the heap: the earliest.
-    fn cmp(&self, other: &Due<T>) -> Ordering {
-        other.at.total_cmp(&self.at).then(other.turn.cmp(&self.turn))
+impl<T> Ord for Scheduled<T> {
+    /// Reversed, since `BinaryHeap` pops the greatest element: the earliest event is the greatest.
+    fn cmp(&self, other: &Scheduled<T>) -> Ordering {
+        other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-impl<T> PartialOrd for Due<T> {
-    fn partial_cmp(&self, other: &Due<T>) -> Option<Ordering> {
+impl<T> PartialOrd for Scheduled<T> {
+    fn partial_cmp(&self, other: &Scheduled<T>) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> PartialEq for Due<T> {
-    fn eq(&self, other: &Due<T>) -> bool {
+impl<T> PartialEq for Scheduled<T> {
+    fn eq(&self, other: &Scheduled<T>) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<T> Eq for Due<T> {}
+impl<T> Eq for Scheduled<T> {}
 
 /// An event queue and its clock.
 pub struct Timeline<T> {
     now: Millis,
-    turn: u64,
-    due: BinaryHeap<Due<T>>,
+    sequence: u64,
+    queue: BinaryHeap<Scheduled<T>>,
 }
 
 impl<T> Default for Timeline<T> {
     fn default() -> Timeline<T> {
-        Timeline { now: 0.0, turn: 0, due: BinaryHeap::new() }
+        Timeline { now: 0.0, sequence: 0, queue: BinaryHeap::new() }
     }
 }
 
@@ -52,31 +52,32 @@
         self.now
     }
 
-    /// Comes at that time, or at once if that is over.
-    pub fn at(&mut self, at: Millis, what: T) {
-        self.turn += 1;
-        self.due.push(Due { at, turn: self.turn, what });
+    /// Schedules an event for time `at`, or for now if that time has passed.
+    pub fn schedule_at(&mut self, at: Millis, event: T) {
+        self.sequence += 1;
+        self.queue.push(Scheduled { at, sequence: self.sequence, event });
     }
 
-    /// Comes after so long.
-    pub fn after(&mut self, after: Millis, what: T) {
-        self.at(self.now + after, what);
+    /// Schedules an event after a delay.
+    pub fn schedule_after(&mut self, delay: Millis, event: T) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    /// The next that comes no later than `until`; when there is none, it is `until`.
+    /// Returns the next event due by `until` and advances the clock to it. Without one, advances the clock to
+    /// `until`.
     pub fn next(&mut self, until: Millis) -> Option<T> {
-        if self.due.peek().is_none_or(|due| due.at > until) {
+        if self.queue.peek().is_none_or(|next| next.at > until) {
             self.now = until.max(self.now);
             return None;
         }
-        let Due { at, what, .. } = self.due.pop()?;
+        let Scheduled { at, event, .. } = self.queue.pop()?;
         self.now = at.max(self.now);
-        Some(what)
+        Some(event)
     }
 
-    /// Takes out what does not come any more.
-    pub fn retain(&mut self, comes: impl Fn(&T) -> bool) {
-        self.due.retain(|due| comes(&due.what));
+    /// Removes the scheduled events for which `keep` returns false.
+    pub fn retain(&mut self, keep: impl Fn(&T) -> bool) {
+        self.queue.retain(|scheduled| keep(&scheduled.event));
     }
 }
 
--- a/testbed/src/scale/virtual_fleet.rs
+++ b/testbed/src/scale/virtual_fleet.rs
@@ -1,8 +1,10 @@
-//! A whole fleet of hollow client proxies against one modelled discovery, in virtual time: an event queue and a clock that
-//! nobody waits for.
+//! Simulates a fleet of control-only client proxies (the real discovery client and decision module, without a
+//! network) that poll one modelled discovery. Time is virtual: an event queue with a clock that jumps to the
+//! next event.
 //!
-//! Discovery takes calls one after another. Half of a call's service time goes to taking it in and half to its answer;
-//! between the two it may wait for news at no cost. A call that its caller has given up costs nothing more.
+//! Discovery is a single queue. Half of a poll's service time is spent on accepting it, half on responding.
+//! Between the two, a long poll waits for a change at no cost. A poll that its caller has abandoned costs
+//! nothing further.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -12,55 +14,58 @@
 use rand_pcg::Pcg32;
 
 use super::hollow::{ControlOnlyProxy, NextStep, PeriodicEvaluation, entry_json, list_json};
-use super::law::REGIONS;
+use super::law::ZONE_REGIONS;
 use super::timeline::Timeline;
 use super::{Options, Point, Run, ScaleError};
 use crate::chance;
 
-/// From a call's dial to discovery and back, besides the service. Supposed.
-const WAY: Millis = 2.0;
-/// Endpoints that each holds: one a zone. What a longer list costs comes from the slopes of `hollow-endpoints`.
-const ENDPOINTS: u32 = REGIONS.len() as u32;
-/// What an answer has besides its body: status line and headers as `discovery-watchers` has them, about.
-const HEAD_BYTES: f64 = 90.0;
-const AXIS: [u32; 6] = [100, 300, 1_000, 3_000, 10_000, 36_000];
-
-/// Until all have begun and settled.
-const WARM_UP: Millis = 12_000.0;
-const REST: Millis = 10_000.0;
-/// How long a change is followed. Whoever does not have it by then counts as if it had it then.
-const FOLLOW: Millis = 20_000.0;
-/// Order servers of a zone that change together, each with a version of its own, and over how long.
-const ZONE: u32 = 4_000;
-const ZONE_OVER: Millis = 1_000.0;
-const DOWN: Millis = 8_000.0;
-const RETURN: Millis = 30_000.0;
-/// How often it is looked whether all are back.
-const LOOK_EVERY: Millis = 50.0;
+/// Network round trip of a poll, without the service time. Assumed.
+const ROUND_TRIP_MS: Millis = 2.0;
+/// One endpoint in each zone. The cost of longer lists is taken from the slopes of the run
+/// `hollow-endpoints`.
+const ENDPOINTS_PER_WATCHER: u32 = ZONE_REGIONS.len() as u32;
+/// Approximate size of a response's status line and headers, as in the run `discovery-watchers`.
+const RESPONSE_HEAD_BYTES: f64 = 90.0;
+const WATCHER_COUNTS: [u32; 6] = [100, 300, 1_000, 3_000, 10_000, 36_000];
+
+/// Time until all watchers have started and poll regularly.
+const WARM_UP_MS: Millis = 12_000.0;
+const IDLE_MS: Millis = 10_000.0;
+/// How long the propagation of a change is observed. A watcher that has not received the change by then is
+/// counted as unreached, with this time as its latency.
+const FOLLOW_CHANGE_MS: Millis = 20_000.0;
+/// Number of changes when a whole zone changes, one version for each order server, and the time over which
+/// they are spread.
+const ZONE_SERVERS: u32 = 4_000;
+const ZONE_CHANGES_MS: Millis = 1_000.0;
+const OUTAGE_MS: Millis = 8_000.0;
+const RECOVERY_LIMIT_MS: Millis = 30_000.0;
+const RECOVERY_CHECK_INTERVAL_MS: Millis = 50.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum What {
-    Wake {
+enum SimEvent {
+    Timer {
         watcher: u32,
         token: u64,
     },
     Dial {
         watcher: u32,
     },
-    GiveUp(CallId),
-    WaitOver(CallId),
-    /// Discovery is done with the first in its queue.
-    Done,
-    /// An answer has come, which brings to this version from another one.
-    Answer {
+    TimedOut(CallId),
+    LongPollEnded(CallId),
+    /// Discovery has processed the first job of its queue.
+    JobDone,
+    /// A response has arrived, with the changes from version `after` (a full snapshot if `None`) to
+    /// `version`.
+    Response {
         call: CallId,
         after: Option<u64>,
         version: u64,
     },
-    Fail(CallId),
+    ConnectionFailed(CallId),
 }
 
-/// One call of one watcher.
+/// Identifies one poll of one watcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct CallId {
     watcher: u32,
@@ -68,28 +73,29 @@
 }
 
 struct Watcher {
-    hollow: ControlOnlyProxy,
-    /// The number of its last call, and whether that is still out.
+    proxy: ControlOnlyProxy,
+    /// The number of the most recent poll, and whether it is still in flight.
     call: u32,
-    out: bool,
+    in_flight: bool,
     parked: bool,
     after: Option<u64>,
     wait: Millis,
-    asked: Millis,
-    /// The version held.
-    has: u64,
-    /// When it first held at least [`Fleet::wanted`], and was first answered, since that was last asked.
+    sent_at: Millis,
+    /// The version of the current endpoint list; 0 before the first response.
+    current_version: u64,
+    /// Time at which the list first had at least [`Fleet::target_version`], and of the first response, since
+    /// each field was last reset.
     reached: Option<Millis>,
-    answered: Option<Millis>,
+    first_response: Option<Millis>,
 }
 
 #[derive(Clone, Copy)]
 enum Job {
-    TakeIn(CallId),
-    Reply(CallId),
+    Accept(CallId),
+    Respond(CallId),
 }
 
-/// What was counted since it was last asked.
+/// Counters since the last reset.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Counts {
     calls: f64,
@@ -98,55 +104,57 @@
 }
 
 struct Fleet {
-    timeline: Timeline<What>,
+    timeline: Timeline<SimEvent>,
     watchers: Vec<Watcher>,
-    service: Millis,
+    service_time: Millis,
     jobs: VecDeque<Job>,
-    /// In the order in which they began to wait.
+    /// Long polls waiting for a change, oldest first.
     parked: VecDeque<CallId>,
     down: bool,
-    /// By version, from 2 on: the endpoint that is another process in it.
+    /// The endpoint whose process was replaced, for each version from 2 on.
     changes: Vec<u32>,
-    /// Answers by what they bring from where to where: encoded once and shared.
-    bodies: HashMap<(Option<u64>, u64), Rc<str>>,
-    wanted: u64,
+    /// Encoded response bodies by old and new version, shared among the watchers.
+    response_bodies: HashMap<(Option<u64>, u64), Rc<str>>,
+    target_version: u64,
     counts: Counts,
 }
 
 impl Fleet {
-    fn new(watchers: u32, service: Millis, rng: &mut Pcg32) -> Result<Fleet, ScaleError> {
-        let hollow = |me| ControlOnlyProxy::new(me, watchers, rng.next_u64(), PeriodicEvaluation::Disabled);
-        let hollows: Result<Vec<ControlOnlyProxy>, ScaleError> = (0..watchers).map(hollow).collect();
-        let watcher = |hollow| Watcher {
-            hollow,
+    fn new(watchers: u32, service_time: Millis, rng: &mut Pcg32) -> Result<Fleet, ScaleError> {
+        let proxy =
+            |index| ControlOnlyProxy::new(index, watchers, rng.next_u64(), PeriodicEvaluation::Disabled);
+        let proxies: Result<Vec<ControlOnlyProxy>, ScaleError> = (0..watchers).map(proxy).collect();
+        let watcher = |proxy| Watcher {
+            proxy,
             call: 0,
-            out: false,
+            in_flight: false,
             parked: false,
             after: None,
             wait: 0.0,
-            asked: 0.0,
-            has: 0,
+            sent_at: 0.0,
+            current_version: 0,
             reached: None,
-            answered: None,
+            first_response: None,
         };
         let mut fleet = Fleet {
             timeline: Timeline::default(),
-            watchers: hollows?.into_iter().map(watcher).collect(),
-            service,
+            watchers: proxies?.into_iter().map(watcher).collect(),
+            service_time,
             jobs: VecDeque::new(),
             parked: VecDeque::new(),
             down: false,
             changes: Vec::new(),
-            bodies: HashMap::new(),
-            wanted: 1,
+            response_bodies: HashMap::new(),
+            target_version: 1,
             counts: Counts::default(),
         };
         for watcher in 0..watchers {
-            // Each knows a list from before, so that the start is no part of what is looked at.
-            let known = serde_json::from_str(&fleet.body(None, 1)).ok();
-            let mut todo = Vec::new();
-            fleet.watchers[watcher as usize].hollow.start(0.0, known, &mut todo);
-            fleet.carry_out(watcher, todo);
+            // Each watcher starts with a known list, so that fetching the first one is not part of the
+            // measurement.
+            let known = serde_json::from_str(&fleet.response_body(None, 1)).ok();
+            let mut next_steps = Vec::new();
+            fleet.watchers[watcher as usize].proxy.start(0.0, known, &mut next_steps);
+            fleet.apply(watcher, next_steps);
         }
         Ok(fleet)
     }
@@ -159,284 +167,297 @@
         self.timeline.now()
     }
 
-    fn carry_out(&mut self, watcher: u32, todo: Vec<NextStep>) {
-        for todo in todo {
-            match todo {
-                NextStep::Poll { delay_ms } => self.timeline.after(delay_ms, What::Dial { watcher }),
-                NextStep::Timer { at, token } => self.timeline.at(at, What::Wake { watcher, token }),
+    fn apply(&mut self, watcher: u32, next_steps: Vec<NextStep>) {
+        for step in next_steps {
+            match step {
+                NextStep::Poll { delay_ms } => {
+                    self.timeline.schedule_after(delay_ms, SimEvent::Dial { watcher })
+                }
+                NextStep::Timer { at, token } => {
+                    self.timeline.schedule_at(at, SimEvent::Timer { watcher, token })
+                }
             }
         }
     }
 
-    /// Plays on until then.
-    fn run(&mut self, until: Millis) {
-        while let Some(what) = self.timeline.next(until) {
-            self.come(what);
+    /// Processes all events up to and including time `until`.
+    fn run_until(&mut self, until: Millis) {
+        while let Some(event) = self.timeline.next(until) {
+            self.handle(event);
         }
     }
 
-    fn is_out(&self, call: CallId) -> bool {
+    fn is_in_flight(&self, call: CallId) -> bool {
         let watcher = &self.watchers[call.watcher as usize];
-        watcher.out && watcher.call == call.number
+        watcher.in_flight && watcher.call == call.number
     }
 
-    fn come(&mut self, what: What) {
+    fn handle(&mut self, event: SimEvent) {
         let now = self.now();
-        match what {
-            What::Wake { watcher, token } => {
-                let mut todo = Vec::new();
-                self.watchers[watcher as usize].hollow.on_timer(now, token, &mut todo);
-                self.carry_out(watcher, todo);
+        match event {
+            SimEvent::Timer { watcher, token } => {
+                let mut next_steps = Vec::new();
+                self.watchers[watcher as usize].proxy.on_timer(now, token, &mut next_steps);
+                self.apply(watcher, next_steps);
             }
-            What::Dial { watcher } => self.dial(watcher),
-            What::GiveUp(call) | What::Fail(call) if self.is_out(call) => self.fail(call),
-            What::GiveUp(_) | What::Fail(_) => {}
-            What::WaitOver(call) => {
+            SimEvent::Dial { watcher } => self.poll(watcher),
+            SimEvent::TimedOut(call) | SimEvent::ConnectionFailed(call) if self.is_in_flight(call) => {
+                self.fail_call(call)
+            }
+            SimEvent::TimedOut(_) | SimEvent::ConnectionFailed(_) => {}
+            SimEvent::LongPollEnded(call) => {
                 let watcher = &mut self.watchers[call.watcher as usize];
                 if watcher.parked && watcher.call == call.number {
                     watcher.parked = false;
-                    self.queue(Job::Reply(call));
+                    self.enqueue(Job::Respond(call));
                 }
             }
-            What::Done => self.done(),
-            What::Answer { call, after, version } => self.answer(call, after, version),
+            SimEvent::JobDone => self.finish_job(),
+            SimEvent::Response { call, after, version } => self.deliver_response(call, after, version),
         }
     }
 
-    fn dial(&mut self, number: u32) {
+    fn poll(&mut self, number: u32) {
         let now = self.now();
         let watcher = &mut self.watchers[number as usize];
-        let call = watcher.hollow.next_poll();
+        let call = watcher.proxy.next_poll();
         watcher.call += 1;
-        (watcher.out, watcher.parked, watcher.after, watcher.asked) = (true, false, call.after, now);
+        (watcher.in_flight, watcher.parked, watcher.after, watcher.sent_at) = (true, false, call.after, now);
         watcher.wait = call.wait.as_secs_f64() * 1e3;
         let id = CallId { watcher: number, number: watcher.call };
         self.counts.calls += 1.0;
         if self.down {
-            return self.timeline.after(WAY, What::Fail(id));
+            return self.timeline.schedule_after(ROUND_TRIP_MS, SimEvent::ConnectionFailed(id));
         }
-        self.timeline.after(call.timeout.as_secs_f64() * 1e3, What::GiveUp(id));
-        self.queue(Job::TakeIn(id));
+        self.timeline.schedule_after(call.timeout.as_secs_f64() * 1e3, SimEvent::TimedOut(id));
+        self.enqueue(Job::Accept(id));
     }
 
-    fn fail(&mut self, call: CallId) {
+    fn fail_call(&mut self, call: CallId) {
         let now = self.now();
-        let (watcher, mut todo) = (&mut self.watchers[call.watcher as usize], Vec::new());
-        (watcher.out, watcher.parked) = (false, false);
-        watcher.hollow.on_failure(now, false, &mut todo);
+        let (watcher, mut next_steps) = (&mut self.watchers[call.watcher as usize], Vec::new());
+        (watcher.in_flight, watcher.parked) = (false, false);
+        watcher.proxy.on_failure(now, false, &mut next_steps);
         self.counts.failed += 1.0;
-        self.carry_out(call.watcher, todo);
+        self.apply(call.watcher, next_steps);
     }
 
-    fn queue(&mut self, job: Job) {
+    fn enqueue(&mut self, job: Job) {
         self.jobs.push_back(job);
         if self.jobs.len() == 1 {
-            self.timeline.after(self.service / 2.0, What::Done);
+            self.timeline.schedule_after(self.service_time / 2.0, SimEvent::JobDone);
         }
     }
 
-    fn done(&mut self) {
+    fn finish_job(&mut self) {
         match self.jobs.pop_front() {
-            Some(Job::TakeIn(call)) if self.is_out(call) => {
+            Some(Job::Accept(call)) if self.is_in_flight(call) => {
                 let (now, version) = (self.now(), self.version());
                 let watcher = &mut self.watchers[call.watcher as usize];
                 if watcher.after == Some(version) && watcher.wait > 0.0 {
                     watcher.parked = true;
-                    let over = now + watcher.wait;
+                    let ends_at = now + watcher.wait;
                     self.parked.push_back(call);
-                    self.timeline.at(over, What::WaitOver(call));
+                    self.timeline.schedule_at(ends_at, SimEvent::LongPollEnded(call));
                 } else {
-                    // What need not wait is answered in one go.
-                    self.jobs.push_front(Job::Reply(call));
+                    // There is a change to send or no wait was requested: respond right after accepting.
+                    self.jobs.push_front(Job::Respond(call));
                 }
             }
-            Some(Job::Reply(call)) if self.is_out(call) => {
+            Some(Job::Respond(call)) if self.is_in_flight(call) => {
                 let after = self.watchers[call.watcher as usize].after;
                 let version = self.version();
-                self.timeline.after(WAY, What::Answer { call, after, version });
+                self.timeline.schedule_after(ROUND_TRIP_MS, SimEvent::Response { call, after, version });
             }
             _ => {}
         }
-        // Guards against a queue of calls that nobody waits for any more: those cost nothing.
-        while let Some(&(Job::TakeIn(call) | Job::Reply(call))) = self.jobs.front()
-            && !self.is_out(call)
+        // Abandoned polls are dropped here without service time; otherwise an overloaded discovery would
+        // spend its time on a queue of polls that have already timed out.
+        while let Some(&(Job::Accept(call) | Job::Respond(call))) = self.jobs.front()
+            && !self.is_in_flight(call)
         {
             self.jobs.pop_front();
         }
         if !self.jobs.is_empty() {
-            self.timeline.after(self.service / 2.0, What::Done);
+            self.timeline.schedule_after(self.service_time / 2.0, SimEvent::JobDone);
         }
     }
 
-    fn answer(&mut self, call: CallId, after: Option<u64>, version: u64) {
-        if !self.is_out(call) {
+    fn deliver_response(&mut self, call: CallId, after: Option<u64>, version: u64) {
+        if !self.is_in_flight(call) {
             return;
         }
-        let body = self.body(after, version);
-        self.counts.bytes += body.len() as f64 + HEAD_BYTES;
-        let (now, wanted) = (self.now(), self.wanted);
-        let (watcher, mut todo) = (&mut self.watchers[call.watcher as usize], Vec::new());
-        watcher.out = false;
-        // One that cannot be read has said so to the decisions, and what follows is to be done.
-        if let Ok(Some(held)) = watcher.hollow.on_response(now, watcher.asked, body.as_bytes(), &mut todo) {
-            watcher.has = held;
-            watcher.answered.get_or_insert(now);
-            if held >= wanted {
+        let response_body = self.response_body(after, version);
+        self.counts.bytes += response_body.len() as f64 + RESPONSE_HEAD_BYTES;
+        let (now, target_version) = (self.now(), self.target_version);
+        let (watcher, mut next_steps) = (&mut self.watchers[call.watcher as usize], Vec::new());
+        watcher.in_flight = false;
+        // If the body is unusable, `proxy` has already treated the poll as failed, and `next_steps` has what
+        // follows.
+        if let Ok(Some(current)) =
+            watcher.proxy.on_response(now, watcher.sent_at, response_body.as_bytes(), &mut next_steps)
+        {
+            watcher.current_version = current;
+            watcher.first_response.get_or_insert(now);
+            if current >= target_version {
                 watcher.reached.get_or_insert(now);
             }
         } else {
             self.counts.failed += 1.0;
         }
-        self.carry_out(call.watcher, todo);
+        self.apply(call.watcher, next_steps);
     }
 
-    /// What brings from one version to another; the whole list from none.
-    fn body(&mut self, after: Option<u64>, version: u64) -> Rc<str> {
-        // Those of long ago are not asked for again.
-        if self.bodies.len() > 10_000 {
-            self.bodies.clear();
+    /// The encoded changes from version `after` to `version`, or a full snapshot if `after` is `None`.
+    fn response_body(&mut self, after: Option<u64>, version: u64) -> Rc<str> {
+        // Bounds the cache: old versions are not polled for again.
+        if self.response_bodies.len() > 10_000 {
+            self.response_bodies.clear();
         }
         let changes = &self.changes;
-        let written = self.bodies.entry((after, version)).or_insert_with(|| {
+        let response_body = self.response_bodies.entry((after, version)).or_insert_with(|| {
             let until = version as usize - 1;
             let since = |endpoint: u32| {
                 let changed = changes[..until].iter().rposition(|&changed| changed == endpoint);
                 changed.map_or(1, |at| at as u64 + 2)
             };
             let is_new = |endpoint: &u32| after.is_none_or(|after| since(*endpoint) > after);
-            let entries: Vec<String> = (0..ENDPOINTS)
+            let entries: Vec<String> = (0..ENDPOINTS_PER_WATCHER)
                 .filter(is_new)
                 .map(|endpoint| entry_json(endpoint, since(endpoint), "SERVING"))
                 .collect();
             list_json(version, after.is_none(), &entries).into()
         });
-        Rc::clone(written)
+        Rc::clone(response_body)
     }
 
-    /// So many changes, each a version of its own, of this endpoint.
-    fn change(&mut self, endpoint: u32) {
+    /// Replaces the process of this endpoint, which makes a new version, and answers all waiting long polls.
+    fn change_endpoint(&mut self, endpoint: u32) {
         self.changes.push(endpoint);
         for call in std::mem::take(&mut self.parked) {
             let watcher = &mut self.watchers[call.watcher as usize];
             if watcher.parked && watcher.call == call.number {
                 watcher.parked = false;
-                self.queue(Job::Reply(call));
+                self.enqueue(Job::Respond(call));
             }
         }
     }
 
-    fn want(&mut self, version: u64) {
-        self.wanted = version;
+    fn set_target_version(&mut self, version: u64) {
+        self.target_version = version;
         self.watchers.iter_mut().for_each(|watcher| watcher.reached = None);
     }
 
-    /// How long after `from` each watcher got there; whoever did not is taken to get there now, and counted.
-    fn took(&self, from: Millis, of: fn(&Watcher) -> Option<Millis>) -> (Vec<f64>, f64) {
-        let missing = self.watchers.iter().filter(|watcher| of(watcher).is_none()).count();
-        let took = |watcher: &Watcher| (of(watcher).unwrap_or(self.now()) - from) / 1e3;
-        (self.watchers.iter().map(took).collect(), missing as f64)
+    /// The seconds from `from` to each watcher's `reached_at`, and the number of watchers without one, for
+    /// which the current time is taken.
+    fn elapsed_s(&self, from: Millis, reached_at: fn(&Watcher) -> Option<Millis>) -> (Vec<f64>, f64) {
+        let missing = self.watchers.iter().filter(|watcher| reached_at(watcher).is_none()).count();
+        let elapsed_s = |watcher: &Watcher| (reached_at(watcher).unwrap_or(self.now()) - from) / 1e3;
+        (self.watchers.iter().map(elapsed_s).collect(), missing as f64)
     }
 
-    /// Discovery is gone: connections that are open break, and new ones are refused.
-    fn go_down(&mut self) {
+    /// Stops discovery: open connections break and new ones are refused.
+    fn stop_discovery(&mut self) {
         self.down = true;
         self.jobs.clear();
         self.parked.clear();
-        self.timeline.retain(|what| *what != What::Done);
-        for (n, watcher) in self.watchers.iter_mut().enumerate().filter(|(_, watcher)| watcher.out) {
+        self.timeline.retain(|event| *event != SimEvent::JobDone);
+        for (n, watcher) in self.watchers.iter_mut().enumerate().filter(|(_, watcher)| watcher.in_flight) {
             watcher.parked = false;
             let call = CallId { watcher: n as u32, number: watcher.call };
-            self.timeline.after(WAY / 2.0, What::Fail(call));
+            self.timeline.schedule_after(ROUND_TRIP_MS / 2.0, SimEvent::ConnectionFailed(call));
         }
     }
 }
 
-/// Adds the middle, the 99th percentile and the most.
-fn spread(figures: &mut Vec<(String, f64)>, name: &str, mut values: Vec<f64>) {
+/// Appends the median, the 99th percentile and the maximum to `figures`.
+fn push_percentiles(figures: &mut Vec<(String, f64)>, name: &str, mut values: Vec<f64>) {
     values.sort_by(f64::total_cmp);
-    for (end, part) in [("p50", 0.5), ("p99", 0.99), ("max", 1.0)] {
-        let rank = (values.len() as f64 * part).ceil() as usize;
+    for (suffix, quantile) in [("p50", 0.5), ("p99", 0.99), ("max", 1.0)] {
+        let rank = (values.len() as f64 * quantile).ceil() as usize;
         let value = values.get(rank.saturating_sub(1)).copied().unwrap_or(f64::NAN);
-        figures.push((format!("{name}_s_{end}"), value));
+        figures.push((format!("{name}_s_{suffix}"), value));
     }
 }
 
-fn point(watchers: u32, service: Millis, rng: &mut Pcg32) -> Result<Point, ScaleError> {
-    let mut fleet = Fleet::new(watchers, service, rng)?;
-    let (all, mut figures) = (f64::from(watchers), Vec::new());
-    fleet.run(WARM_UP);
+fn point(watchers: u32, service_time: Millis, rng: &mut Pcg32) -> Result<Point, ScaleError> {
+    let mut fleet = Fleet::new(watchers, service_time, rng)?;
+    let (watcher_count, mut figures) = (f64::from(watchers), Vec::new());
+    fleet.run_until(WARM_UP_MS);
     fleet.counts = Counts::default();
-    fleet.run(WARM_UP + REST);
-    let rest = std::mem::take(&mut fleet.counts);
-    figures.push(("calls_s".to_owned(), rest.calls / (REST / 1e3)));
-    figures.push(("failed_share".to_owned(), rest.failed / rest.calls.max(1.0)));
-    figures.push(("down_bytes_s_watcher".to_owned(), rest.bytes / (REST / 1e3) / all));
-
-    // At any point of a watch's wait.
-    fleet.run(fleet.now() + 1_500.0 * chance::unit(rng));
+    fleet.run_until(WARM_UP_MS + IDLE_MS);
+    let idle = std::mem::take(&mut fleet.counts);
+    figures.push(("calls_s".to_owned(), idle.calls / (IDLE_MS / 1e3)));
+    figures.push(("failed_share".to_owned(), idle.failed / idle.calls.max(1.0)));
+    figures.push(("down_bytes_s_watcher".to_owned(), idle.bytes / (IDLE_MS / 1e3) / watcher_count));
+
+    // The change comes at a random point of a long poll's wait.
+    fleet.run_until(fleet.now() + 1_500.0 * chance::unit(rng));
     let from = fleet.now();
-    fleet.want(fleet.version() + 1);
-    fleet.change(rng.next_u32() % ENDPOINTS);
-    fleet.run(from + FOLLOW);
-    let (took, missing) = fleet.took(from, |watcher| watcher.reached);
-    spread(&mut figures, "in_force", took);
+    fleet.set_target_version(fleet.version() + 1);
+    fleet.change_endpoint(rng.next_u32() % ENDPOINTS_PER_WATCHER);
+    fleet.run_until(from + FOLLOW_CHANGE_MS);
+    let (elapsed_s, missing) = fleet.elapsed_s(from, |watcher| watcher.reached);
+    push_percentiles(&mut figures, "in_force", elapsed_s);
     figures.push(("unreached_watchers".to_owned(), missing));
 
-    let (zone, began) = (rng.next_u32() % ENDPOINTS, fleet.now());
-    fleet.want(fleet.version() + u64::from(ZONE));
-    for n in 1..=ZONE {
-        fleet.run(began + ZONE_OVER * f64::from(n) / f64::from(ZONE));
-        fleet.change(zone);
+    let (zone, began) = (rng.next_u32() % ENDPOINTS_PER_WATCHER, fleet.now());
+    fleet.set_target_version(fleet.version() + u64::from(ZONE_SERVERS));
+    for n in 1..=ZONE_SERVERS {
+        fleet.run_until(began + ZONE_CHANGES_MS * f64::from(n) / f64::from(ZONE_SERVERS));
+        fleet.change_endpoint(zone);
     }
     let from = fleet.now();
-    fleet.run(from + FOLLOW);
-    let (took, missing) = fleet.took(from, |watcher| watcher.reached);
-    spread(&mut figures, "zone_in_force", took);
+    fleet.run_until(from + FOLLOW_CHANGE_MS);
+    let (elapsed_s, missing) = fleet.elapsed_s(from, |watcher| watcher.reached);
+    push_percentiles(&mut figures, "zone_in_force", elapsed_s);
     figures.push(("zone_unreached_watchers".to_owned(), missing));
 
     fleet.counts = Counts::default();
-    fleet.go_down();
-    fleet.run(fleet.now() + DOWN);
-    let away = std::mem::take(&mut fleet.counts);
+    fleet.stop_discovery();
+    fleet.run_until(fleet.now() + OUTAGE_MS);
+    let outage = std::mem::take(&mut fleet.counts);
     fleet.down = false;
     let from = fleet.now();
-    fleet.watchers.iter_mut().for_each(|watcher| watcher.answered = None);
-    while fleet.now() < from + RETURN && fleet.watchers.iter().any(|watcher| watcher.answered.is_none()) {
-        fleet.run(fleet.now() + LOOK_EVERY);
+    fleet.watchers.iter_mut().for_each(|watcher| watcher.first_response = None);
+    while fleet.now() < from + RECOVERY_LIMIT_MS
+        && fleet.watchers.iter().any(|watcher| watcher.first_response.is_none())
+    {
+        fleet.run_until(fleet.now() + RECOVERY_CHECK_INTERVAL_MS);
     }
-    let (took, missing) = fleet.took(from, |watcher| watcher.answered);
-    spread(&mut figures, "return", took);
+    let (elapsed_s, missing) = fleet.elapsed_s(from, |watcher| watcher.first_response);
+    push_percentiles(&mut figures, "return", elapsed_s);
     figures.push(("return_unreached_watchers".to_owned(), missing));
-    figures.push(("down_failed_calls".to_owned(), away.failed));
+    figures.push(("down_failed_calls".to_owned(), outage.failed));
     figures.push(("return_failed_calls".to_owned(), fleet.counts.failed));
     figures.push(("return_bytes".to_owned(), fleet.counts.bytes));
-    Ok(Point { x: all, figures: figures.into_iter().collect() })
+    Ok(Point { x: watcher_count, figures: figures.into_iter().collect() })
 }
 
-fn make(name: &str, service: Millis, options: &Options) -> Result<Run, ScaleError> {
+fn make(name: &str, service_time: Millis, options: &Options) -> Result<Run, ScaleError> {
     let mut rng = chance::stream(options.seed, name);
     let points: Result<Vec<Point>, ScaleError> =
-        AXIS.into_iter().map(|watchers| point(watchers, service, &mut rng)).collect();
+        WATCHER_COUNTS.into_iter().map(|watchers| point(watchers, service_time, &mut rng)).collect();
     let fixed = [
         ("how", "virtual time: real follower and decisions, modelled discovery, network and clock".to_owned()),
-        ("service time of a call, ms", service.to_string()),
-        ("way there and back, ms", WAY.to_string()),
+        ("service time of a call, ms", service_time.to_string()),
+        ("way there and back, ms", ROUND_TRIP_MS.to_string()),
         (
             "discovery",
             "one queue; half of the service time to take a call in, half to answer it; waits and given-up calls are free"
                 .to_owned(),
         ),
-        ("hosts held", format!("{ENDPOINTS}; longer lists by the slopes of hollow-endpoints")),
+        ("hosts held", format!("{ENDPOINTS_PER_WATCHER}; longer lists by the slopes of hollow-endpoints")),
         ("the regular look at everything", "left out".to_owned()),
-        ("at rest, s", format!("{} after {} of warm-up", REST / 1e3, WARM_UP / 1e3)),
-        ("in_force", format!("from one change; who has it not after {} s counts as having it then", FOLLOW / 1e3)),
-        ("zone_in_force", format!("from the last of {ZONE} changes made over {} s", ZONE_OVER / 1e3)),
+        ("at rest, s", format!("{} after {} of warm-up", IDLE_MS / 1e3, WARM_UP_MS / 1e3)),
+        ("in_force", format!("from one change; who has it not after {} s counts as having it then", FOLLOW_CHANGE_MS / 1e3)),
+        ("zone_in_force", format!("from the last of {ZONE_SERVERS} changes made over {} s", ZONE_CHANGES_MS / 1e3)),
         (
             "return",
             format!(
                 "from the end of {} s without discovery, which keeps its list, to the first answer; calls and bytes until all have one or {} s are over",
-                DOWN / 1e3,
-                RETURN / 1e3
+                OUTAGE_MS / 1e3,
+                RECOVERY_LIMIT_MS / 1e3
             ),
         ),
     ];
@@ -450,27 +471,28 @@
     })
 }
 
-/// The run `fleet-virtual-50us`: a discovery as lean as the one of `discovery-watchers`, about.
+/// The run `fleet-virtual-50us`: a discovery about as fast as the one of the run `discovery-watchers`.
 ///
 /// # Errors
-/// Where the settings do not fit.
-pub fn lean(options: &Options) -> Result<Run, ScaleError> {
+/// Returns an error if the settings are invalid.
+pub fn fast_discovery(options: &Options) -> Result<Run, ScaleError> {
     make("fleet-virtual-50us", 0.05, options)
 }
 
 /// The run `fleet-virtual-1ms`.
 ///
 /// # Errors
-/// Where the settings do not fit.
-pub fn slow(options: &Options) -> Result<Run, ScaleError> {
+/// Returns an error if the settings are invalid.
+pub fn slow_discovery(options: &Options) -> Result<Run, ScaleError> {
     make("fleet-virtual-1ms", 1.0, options)
 }
 
-/// The run `fleet-virtual-50ms`: as the decisions reckon with (`ASK_EACH` in `src/logic/endpoint_list.rs`).
+/// The run `fleet-virtual-50ms`: the service time that the decision module assumes (`POLL_COST` in
+/// `balancer/src/logic/endpoint_list.rs`).
 ///
 /// # Errors
-/// Where the settings do not fit.
-pub fn as_reckoned(options: &Options) -> Result<Run, ScaleError> {
+/// Returns an error if the settings are invalid.
+pub fn assumed_discovery(options: &Options) -> Result<Run, ScaleError> {
     make("fleet-virtual-50ms", 50.0, options)
 }
 
--- a/testbed/src/scale/virtual_fleet/tests.rs
+++ b/testbed/src/scale/virtual_fleet/tests.rs
@@ -1,69 +1,74 @@
 use super::*;
 
-fn fleet(watchers: u32, service: Millis) -> Fleet {
-    let mut fleet = Fleet::new(watchers, service, &mut chance::stream(5, "test")).expect("usable");
-    fleet.run(WARM_UP);
+fn fleet(watchers: u32, service_time: Millis) -> Fleet {
+    let mut fleet =
+        Fleet::new(watchers, service_time, &mut chance::stream(5, "test")).expect("settings are valid");
+    fleet.run_until(WARM_UP_MS);
     fleet
 }
 
-/// Guards against a fleet that comes to rest without watching: each asks again when its wait is over, and nobody fails.
+/// A watcher whose long poll ends without a change has to poll again at once. If it stopped, the idle figures
+/// would be those of a fleet that does not watch.
 #[test]
-fn at_rest_each_watches_and_no_call_fails() {
+fn idle_watchers_keep_polling_without_failures() {
     let mut fleet = fleet(20, 1.0);
     fleet.counts = Counts::default();
-    fleet.run(WARM_UP + 15_000.0);
-    // Ten waits of 1.5 s and their ways.
+    fleet.run_until(WARM_UP_MS + 15_000.0);
+    // 15 s hold ten long polls of 1.5 s with their round trips, for each of the 20 watchers.
     assert!((190.0..=200.0).contains(&fleet.counts.calls), "{:?}", fleet.counts);
     assert_eq!(fleet.counts.failed, 0.0);
-    assert!(fleet.watchers.iter().all(|watcher| watcher.has == 1));
+    assert!(fleet.watchers.iter().all(|watcher| watcher.current_version == 1));
 }
 
-/// Guards against a change that some watcher misses, and against an order of answers that time does not explain: they go
-/// out one after another, each after half of the service time.
+/// Discovery sends the responses to a change one after another, each after half of the service time. A model
+/// that sent them at once, or left a watcher out, would report propagation times that are too short.
 #[test]
-fn a_change_reaches_all_one_after_another() {
+fn change_reaches_all_watchers_in_turn() {
     let mut fleet = fleet(20, 1.0);
     let from = fleet.now();
-    fleet.want(2);
-    fleet.change(4);
-    fleet.run(from + FOLLOW);
-    let (mut took, missing) = fleet.took(from, |watcher| watcher.reached);
-    took.sort_by(f64::total_cmp);
+    fleet.set_target_version(2);
+    fleet.change_endpoint(4);
+    fleet.run_until(from + FOLLOW_CHANGE_MS);
+    let (mut elapsed_s, missing) = fleet.elapsed_s(from, |watcher| watcher.reached);
+    elapsed_s.sort_by(f64::total_cmp);
     assert_eq!(missing, 0.0);
-    assert!(took[0] >= 0.5e-3 + WAY / 1e3 && took[19] >= 20.0 * 0.5e-3, "{took:?}");
+    assert!(elapsed_s[0] >= 0.5e-3 + ROUND_TRIP_MS / 1e3 && elapsed_s[19] >= 20.0 * 0.5e-3, "{elapsed_s:?}");
 }
 
-/// Guards against a discovery that does more than it has time for, and against watchers that are lost after it was away.
+/// Polls fail during an outage and time out when discovery is overloaded (400 watchers at 50 ms each). After
+/// an outage every watcher has to reconnect; one that gave up would be missing from all later figures.
 #[test]
-fn what_there_is_no_time_for_fails_and_all_come_back() {
+fn watchers_recover_after_outage_and_overload_fails_polls() {
     let mut fleet = fleet(30, 1.0);
-    fleet.go_down();
+    fleet.stop_discovery();
     fleet.counts = Counts::default();
-    fleet.run(fleet.now() + DOWN);
+    fleet.run_until(fleet.now() + OUTAGE_MS);
     assert!(fleet.counts.failed >= 30.0 && fleet.counts.bytes == 0.0, "{:?}", fleet.counts);
     fleet.down = false;
     let from = fleet.now();
-    fleet.watchers.iter_mut().for_each(|watcher| watcher.answered = None);
-    fleet.run(from + RETURN);
-    assert_eq!(fleet.took(from, |watcher| watcher.answered).1, 0.0);
+    fleet.watchers.iter_mut().for_each(|watcher| watcher.first_response = None);
+    fleet.run_until(from + RECOVERY_LIMIT_MS);
+    assert_eq!(fleet.elapsed_s(from, |watcher| watcher.first_response).1, 0.0);
 
-    let mut crowded = self::fleet(400, 50.0);
-    crowded.counts = Counts::default();
-    crowded.run(crowded.now() + 10_000.0);
-    assert!(crowded.counts.failed > 0.0, "{:?}", crowded.counts);
+    let mut overloaded = self::fleet(400, 50.0);
+    overloaded.counts = Counts::default();
+    overloaded.run_until(overloaded.now() + 10_000.0);
+    assert!(overloaded.counts.failed > 0.0, "{:?}", overloaded.counts);
 }
 
-/// Guards against a version that tells too little or too much.
+/// A response has exactly the entries that changed after the watcher's version: an entry too few leaves the
+/// watcher with an outdated list, an entry too many counts too many bytes.
 #[test]
-fn an_answer_brings_what_is_new() {
+fn response_has_only_newer_entries() {
     let mut fleet = fleet(1, 1.0);
-    [3, 5, 3].into_iter().for_each(|endpoint| fleet.change(endpoint));
-    let names = |body: Rc<str>| -> Vec<u64> {
-        let list: discovery_proto::EndpointList = serde_json::from_str(&body).expect("a list");
-        list.endpoints.iter().map(|entry| entry["since_ms"].as_u64().expect("a number")).collect()
+    [3, 5, 3].into_iter().for_each(|endpoint| fleet.change_endpoint(endpoint));
+    let names = |response_body: Rc<str>| -> Vec<u64> {
+        let list: discovery_proto::EndpointList =
+            serde_json::from_str(&response_body).expect("response is an endpoint list");
+        list.endpoints.iter().map(|entry| entry["since_ms"].as_u64().expect("since_ms is a number")).collect()
     };
-    assert_eq!(names(fleet.body(Some(1), 4)), [4, 3]);
-    assert_eq!(names(fleet.body(Some(3), 4)), [4]);
-    assert_eq!(names(fleet.body(None, 2)), [1, 1, 1, 2, 1, 1, 1, 1, 1]);
-    assert_eq!(names(fleet.body(Some(4), 4)), [] as [u64; 0]);
+    assert_eq!(names(fleet.response_body(Some(1), 4)), [4, 3]);
+    assert_eq!(names(fleet.response_body(Some(3), 4)), [4]);
+    assert_eq!(names(fleet.response_body(None, 2)), [1, 1, 1, 2, 1, 1, 1, 1, 1]);
+    assert_eq!(names(fleet.response_body(Some(4), 4)), [] as [u64; 0]);
 }
