--- a/client-proxy/src/clients.rs
+++ b/client-proxy/src/clients.rs
@@ -166,7 +166,7 @@
         // A client that disconnects or sends invalid HTTP (which gets 400) affects only its own connection.
         _ = http => HttpEnd::Finished,
         // So does a client that does not read its responses or send its request in time.
-        _ = conn.wait_for_unread_response() => HttpEnd::Stalled,
+        _ = conn.wait_for_read_timeout() => HttpEnd::Stalled,
         _ = conn.wait_for_head_timeout() => HttpEnd::Stalled,
         never = conn.drain_bodies() => match never {},
         _ = closable => HttpEnd::Closable,
--- a/client-proxy/src/clients/connection_state.rs
+++ b/client-proxy/src/clients/connection_state.rs
@@ -84,7 +84,7 @@
     }
 
     /// Waits until the client has left a response unread for too long.
-    pub(super) async fn wait_for_unread_response(&self) {
+    pub(super) async fn wait_for_read_timeout(&self) {
         loop {
             let limit = if self.is_streaming.get() { STREAM_STALL_TIMEOUT } else { RESPONSE_STALL_TIMEOUT };
             let waited = self.stream.write_stalled_for();
@@ -96,7 +96,7 @@
     }
 
     /// Whether a request head has arrived in part, or a client may still be reading a streamed response.
-    pub(super) fn is_in_use(&self) -> bool {
+    pub(super) fn is_mid_exchange(&self) -> bool {
         self.active_requests.get() == 0 && (self.stream.first_byte_at().is_some() || self.is_streaming.get())
     }
 
@@ -105,7 +105,7 @@
     /// is about to be killed, unread data does not count any more: there is no time left for a response.
     pub(super) fn may_close(&self, kill_imminent: bool) -> bool {
         let is_answered = self.active_requests.get() == 0 && self.stream.write_stalled_for().is_zero();
-        let is_idle = || self.stream.is_quiet() && !self.is_in_use() && !self.request_end().is_unread();
+        let is_idle = || self.stream.is_quiet() && !self.is_mid_exchange() && !self.request_end().is_unread();
         is_answered && (kill_imminent || is_idle())
     }
 
--- a/client-proxy/src/clients/connection_state/tests.rs
+++ b/client-proxy/src/clients/connection_state/tests.rs
@@ -39,9 +39,9 @@
         assert_eq!(remaining(), HEAD_TIMEOUT);
         connection_state.is_streaming.set(true);
         assert_eq!(remaining(), STREAM_STALL_TIMEOUT);
-        assert!(connection_state.is_in_use(), "a streamed response may still be read");
+        assert!(connection_state.is_mid_exchange(), "a streamed response may still be read");
         connection_state.is_streaming.set(false);
-        assert!(!connection_state.is_in_use());
+        assert!(!connection_state.is_mid_exchange());
         // A head begins just before the timeout.
         tokio::time::advance(HEAD_TIMEOUT - Duration::from_millis(1)).await;
         std::io::Write::write_all(&mut client, b"P").expect("could not write");
@@ -49,7 +49,7 @@
             .await
             .expect("no byte to read");
         assert_eq!(remaining(), HEAD_TIMEOUT);
-        assert!(connection_state.is_in_use());
+        assert!(connection_state.is_mid_exchange());
     });
 }
 
--- a/client-proxy/src/driver.rs
+++ b/client-proxy/src/driver.rs
@@ -192,13 +192,13 @@
 
     /// Passes to the balancer the operator overrides that have changed since the last call.
     pub fn apply_operator_overrides(self: &Rc<Self>) {
-        let now = self.process_state.state();
-        let applied_state = self.applied_state.replace(now.clone());
-        for name in now.disabled.difference(&applied_state.disabled) {
+        let current = self.process_state.state();
+        let applied = self.applied_state.replace(current.clone());
+        for name in current.disabled.difference(&applied.disabled) {
             self.handle_event(Event::Disabled { endpoint: self.ids.get_or_assign(name) });
         }
-        let (now, applied_state) = (&now.enabled_at, &applied_state.enabled_at);
-        for (name, at) in now.iter().filter(|(name, at)| applied_state.get(name) != Some(*at)) {
+        let (current, applied) = (&current.enabled_at, &applied.enabled_at);
+        for (name, at) in current.iter().filter(|(name, at)| applied.get(name) != Some(*at)) {
             self.handle_event(Event::Enabled { endpoint: self.ids.get_or_assign(name), at });
         }
     }
--- a/client-proxy/src/endpoint_pool/attempt.rs
+++ b/client-proxy/src/endpoint_pool/attempt.rs
@@ -111,7 +111,7 @@
             // would stall the attempt forever.
             _ = stream.wait_for_write_stall(STALL_TIMEOUT), if request.streamed_body().is_some() => None,
         };
-        let never_sent = stream.is_partially_written();
+        let not_fully_sent = stream.is_partially_written();
         let mut result = match exchanged {
             // The endpoint may respond in the middle of the request. The rest is not sent then, and the
             // request had no effect if the response says so.
@@ -139,7 +139,7 @@
             // The request body failed, which is the client's fault and not the endpoint's.
             Some(Err(error)) if error.is_user() => AttemptResult::without_response(Outcome::NeverSent),
             // The last byte was not written, so the endpoint cannot have begun to process the request.
-            Some(Err(_)) | None if never_sent => AttemptResult::without_response(Outcome::ConnectFailed),
+            Some(Err(_)) | None if not_fully_sent => AttemptResult::without_response(Outcome::ConnectFailed),
             Some(Err(_)) => AttemptResult::without_response(Outcome::Reset),
             None => AttemptResult::without_response(Outcome::TimedOut),
         };
