--- a/client-proxy/src/driver/actions.rs
+++ b/client-proxy/src/driver/actions.rs
@@ -33,10 +33,8 @@
                     state.pending_events.push_back(event);
                 }
             }
-            Action::Reject { id, retry_after } => {
-                send_outcome(state, id, FinalOutcome::Rejected(retry_after))
-            }
-            Action::Fail { id } => send_outcome(state, id, FinalOutcome::Failed),
+            Action::Reject { id, retry_after } => respond(state, id, FinalOutcome::Rejected(retry_after)),
+            Action::Fail { id } => respond(state, id, FinalOutcome::Failed),
             Action::SetTimer { at, token } => {
                 let (driver, at) = (Rc::clone(self), self.clock.instant(at));
                 spawn_local(async move {
@@ -102,7 +100,7 @@
     }
 }
 
-fn send_outcome(state: &mut DriverState, id: RequestId, outcome: FinalOutcome) {
+fn respond(state: &mut DriverState, id: RequestId, outcome: FinalOutcome) {
     if let Some(reply) = state.requests.get_mut(&id).and_then(|pending| pending.reply.take()) {
         // Fails if the client has just disconnected.
         let _ = reply.send(outcome);
