--- a/client-proxy/src/process_state/tests.rs
+++ b/client-proxy/src/process_state/tests.rs
@@ -13,9 +13,12 @@
     Names { classes: vec!["look".to_owned()], ..Names::default() }
 }
 
-/// An empty folder for one test.
+/// An empty folder for one test, in memory where the system has such a file system: the syncs of one change on
+/// a busy disk can take longer than its time limit.
 fn empty_folder(name: &str) -> PathBuf {
-    let dir = std::env::temp_dir().join(format!("process-state-{}-{name}", std::process::id()));
+    let shared_memory = PathBuf::from("/dev/shm");
+    let parent = if shared_memory.is_dir() { shared_memory } else { std::env::temp_dir() };
+    let dir = parent.join(format!("process-state-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
     fs::create_dir_all(&dir).expect("could not create the directory");
     dir
