--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -274,15 +274,19 @@
             Ok(ExitCode::SUCCESS)
         }
         ScaleCall::Page { dir, page, check } => {
-            let is = fs::read_to_string(&page).map_err(|error| format!("{}: {error}", page.display()))?;
-            let ought = scale::page::renewed(&dir, &page)?;
-            let difference = scale::page::first_difference(&is, &ought);
+            let actual = fs::read_to_string(&page).map_err(|error| format!("{}: {error}", page.display()))?;
+            let expected = scale::page::regenerate(&dir, &page)?;
+            let difference = scale::page::first_difference(&actual, &expected);
             if !check {
-                fs::write(&page, ought)?;
+                fs::write(&page, expected)?;
                 return Ok(ExitCode::SUCCESS);
             }
-            if let Some(scale::page::Difference { line, is, ought }) = &difference {
-                println!("{}:{line}: is    {is}\n{}:{line}: ought {ought}", page.display(), page.display());
+            if let Some(scale::page::Difference { line, actual, expected }) = &difference {
+                println!(
+                    "{}:{line}: is    {actual}\n{}:{line}: ought {expected}",
+                    page.display(),
+                    page.display()
+                );
             }
             Ok(ExitCode::from(u8::from(difference.is_some())))
         }
--- a/testbed/src/scale/page.rs
+++ b/testbed/src/scale/page.rs
@@ -1,5 +1,5 @@
-//! The page docs/CAPACITY.md: its tables, worked out anew from `rows.toml` and the runs' JSON, so that page and runs
-//! cannot drift apart. Nothing of the page changes but what stands between `<!-- table: NAME -->` and `<!-- end -->`.
+//! Generates the tables of docs/CAPACITY.md from `rows.toml` and the JSON files of the runs, so that the page
+//! always matches the runs. Only the text between `<!-- table: NAME -->` and `<!-- end -->` is replaced.
 
 mod number;
 mod rows;
@@ -10,148 +10,152 @@
 use std::fs;
 use std::path::Path;
 
-use self::number::{Number, written};
-use self::rows::{Book, Row};
-use self::working::{Worked, Working};
+use self::number::{Number, format_number};
+use self::rows::{Row, RowsFile};
+use self::working::{Evaluated, Evaluator};
 use super::fit::Fit;
 use super::{Run, ScaleError, read_runs};
 
-/// What the tables are made of, in the folder with the JSON.
-const ROWS: &str = "rows.toml";
-const BEGIN: &str = "<!-- table: ";
-const BEGIN_END: &str = " -->";
-const END: &str = "<!-- end -->";
-/// Tables made of the runs alone.
-const RUNS: &str = "runs";
-const SLOPES: &str = "slopes";
+/// The file with the rows of the tables, in the directory of the JSON files.
+const ROWS_FILE: &str = "rows.toml";
+const TABLE_BEGIN: &str = "<!-- table: ";
+const TABLE_BEGIN_SUFFIX: &str = " -->";
+const TABLE_END: &str = "<!-- end -->";
+/// Names of the tables that are generated from the runs without rows.
+const RUNS_TABLE: &str = "runs";
+const SLOPES_TABLE: &str = "slopes";
 
-/// The first line at which two texts part.
+/// The first line in which two texts differ.
 #[derive(Debug, PartialEq)]
 pub struct Difference {
-    /// From 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What stands there.
-    pub is: String,
-    /// What the runs say.
-    pub ought: String,
+    /// The line of the page.
+    pub actual: String,
+    /// The line generated from the runs.
+    pub expected: String,
 }
 
-/// The text of a page with its tables made anew from a folder.
+/// Returns the text of a page with its tables regenerated from the rows and runs in `dir`.
 ///
 /// # Errors
-/// Where a file cannot be read, or page, rows and runs do not fit together.
-pub fn renewed(dir: &Path, page: &Path) -> Result<String, ScaleError> {
-    let path = dir.join(ROWS);
+/// Returns an error if a file cannot be read, or if page, rows and runs do not match.
+pub fn regenerate(dir: &Path, page: &Path) -> Result<String, ScaleError> {
+    let path = dir.join(ROWS_FILE);
     let problem = |path: &Path, problem: String| ScaleError::File { path: path.to_owned(), problem };
     let text = fs::read_to_string(&path).map_err(|error| problem(&path, error.to_string()))?;
-    let book: Book = toml::from_str(&text).map_err(|error| problem(&path, error.to_string()))?;
+    let rows_file: RowsFile = toml::from_str(&text).map_err(|error| problem(&path, error.to_string()))?;
     let runs = read_runs(dir)?;
-    let tables = tables(&book, &runs).map_err(|why| problem(&path, why))?;
+    let tables = render_tables(&rows_file, &runs).map_err(|why| problem(&path, why))?;
     let text = fs::read_to_string(page).map_err(|error| problem(page, error.to_string()))?;
-    filled(&text, &tables).map_err(|why| problem(page, why))
+    fill_tables(&text, &tables).map_err(|why| problem(page, why))
 }
 
-/// Where the first text is not as the second.
-pub fn first_difference(is: &str, ought: &str) -> Option<Difference> {
-    let (mut is, mut ought) = (is.lines(), ought.lines());
+/// Returns the first difference between two texts, or `None` if they are equal line by line.
+pub fn first_difference(actual: &str, expected: &str) -> Option<Difference> {
+    let (mut actual, mut expected) = (actual.lines(), expected.lines());
     for line in 1.. {
-        match (is.next(), ought.next()) {
+        match (actual.next(), expected.next()) {
             (None, None) => break,
-            (a, b) if a == b => {}
-            (a, b) => {
-                let [is, ought] = [a, b].map(|line| line.unwrap_or("(the end)").to_owned());
-                return Some(Difference { line, is, ought });
+            (left, right) if left == right => {}
+            (left, right) => {
+                let [actual, expected] = [left, right].map(|line| line.unwrap_or("(the end)").to_owned());
+                return Some(Difference { line, actual, expected });
             }
         }
     }
     None
 }
 
-/// All tables by name.
-fn tables(book: &Book, runs: &BTreeMap<String, Vec<Run>>) -> Result<BTreeMap<String, String>, String> {
+/// Renders all tables, by name.
+fn render_tables(
+    rows_file: &RowsFile,
+    runs: &BTreeMap<String, Vec<Run>>,
+) -> Result<BTreeMap<String, String>, String> {
     let mut tables: BTreeMap<String, String> = BTreeMap::new();
-    let mut working = Working::new(&book.counts, runs);
-    for row in &book.rows {
-        if [RUNS, SLOPES].contains(&row.table.as_str()) {
-            return Err(format!("{}: this table is made of the runs alone", row.table));
+    let mut working = Evaluator::new(&rows_file.counts, runs);
+    for row in &rows_file.rows {
+        if [RUNS_TABLE, SLOPES_TABLE].contains(&row.table.as_str()) {
+            return Err(format!("table {} is generated from the runs and cannot have rows", row.table));
         }
-        let worked = working.work_out(row).map_err(|why| format!("{}: {}: {why}", row.table, row.what))?;
+        let evaluated = working.evaluate(row).map_err(|why| format!("{}: {}: {why}", row.table, row.what))?;
         let table = tables.entry(row.table.clone()).or_insert_with(|| {
-            heads(&["what", "worked out", "comes to", "budget", "headroom", "run", "mechanism"])
+            table_head(&["what", "worked out", "comes to", "budget", "headroom", "run", "mechanism"])
         });
-        line(table, &cells(row, &worked, runs));
+        push_row(table, &row_cells(row, &evaluated, runs));
     }
-    tables.insert(RUNS.to_owned(), runs_table(runs));
-    tables.insert(SLOPES.to_owned(), slopes_table(runs));
+    tables.insert(RUNS_TABLE.to_owned(), runs_table(runs));
+    tables.insert(SLOPES_TABLE.to_owned(), slopes_table(runs));
     Ok(tables)
 }
 
-fn heads(names: &[&str]) -> String {
+fn table_head(names: &[&str]) -> String {
     let mut table = String::new();
-    line(&mut table, names);
-    line(&mut table, &vec!["---"; names.len()]);
+    push_row(&mut table, names);
+    push_row(&mut table, &vec!["---"; names.len()]);
     table
 }
 
-fn line<S: AsRef<str>>(table: &mut String, cells: &[S]) {
+fn push_row<S: AsRef<str>>(table: &mut String, cells: &[S]) {
     for cell in cells {
-        // What writes to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = write!(table, "| {} ", cell.as_ref().replace('|', "\\|"));
     }
     table.push_str("|\n");
 }
 
-fn cells(row: &Row, worked: &Worked, runs: &BTreeMap<String, Vec<Run>>) -> [String; 7] {
+fn row_cells(row: &Row, evaluated: &Evaluated, runs: &BTreeMap<String, Vec<Run>>) -> [String; 7] {
     let unit =
         |number: &str| if row.unit.is_empty() { number.to_owned() } else { format!("{number} {}", row.unit) };
-    let nothing = || "-".to_owned();
-    let comes_to = match (&worked.number, worked.missing.is_empty()) {
+    let dash = || "-".to_owned();
+    let comes_to = match (&evaluated.number, evaluated.missing_runs.is_empty()) {
         (Some(number), _) => unit(&number.to_string()),
-        (None, true) if !worked.text.is_empty() => "not reached".to_owned(),
+        (None, true) if !evaluated.text.is_empty() => "not reached".to_owned(),
         (None, _) => "not measured".to_owned(),
     };
-    let headroom = match (row.budget, worked.number) {
+    let headroom = match (row.budget, evaluated.number) {
         (Some(budget), Some(number)) => headroom(budget, number),
-        _ => nothing(),
+        _ => dash(),
     };
-    let text = if worked.text.is_empty() { nothing() } else { worked.text.clone() };
-    let budget = row.budget.map_or_else(nothing, |budget| unit(&written(budget)));
+    let text = if evaluated.text.is_empty() { dash() } else { evaluated.text.clone() };
+    let budget = row.budget.map_or_else(dash, |budget| unit(&format_number(budget)));
     let of = |name: &String| match runs.get(name) {
-        Some(seeds) => format!("`{name}`, {}", seeds_of(seeds)),
+        Some(seeds) => format!("`{name}`, {}", seed_list(seeds)),
         None => format!("`{name}`: none yet"),
     };
-    let mut from: Vec<String> = worked.runs.union(&worked.missing).map(of).collect();
-    from.extend(worked.beyond.iter().cloned());
-    let from = match (from.is_empty(), worked.number) {
+    let mut from: Vec<String> = evaluated.runs.union(&evaluated.missing_runs).map(of).collect();
+    from.extend(evaluated.extrapolations.iter().cloned());
+    let from = match (from.is_empty(), evaluated.number) {
         (false, _) => from.join("; "),
         (true, Some(_)) => "arithmetic".to_owned(),
-        (true, None) => nothing(),
+        (true, None) => dash(),
     };
     [row.what.clone(), text, comes_to, budget, headroom, from, row.mechanism.clone()]
 }
 
-/// How often the budget holds what it has to; by how much it is missed.
+/// Compares a number with its budget: the budget as a multiple of the number, or, where the number exceeds
+/// it, the number as a multiple of the budget.
 fn headroom(budget: f64, number: Number) -> String {
-    if (number.is - budget).abs() < number.error {
+    if (number.value - budget).abs() < number.error {
         "undecided: within the error".to_owned()
-    } else if number.is > budget {
-        format!("**over**: {} times the budget", written(number.is / budget))
-    } else if budget > 1_000.0 * number.is {
+    } else if number.value > budget {
+        format!("**over**: {} times the budget", format_number(number.value / budget))
+    } else if budget > 1_000.0 * number.value {
         "over 1,000 times".to_owned()
     } else {
-        format!("{} times", written(budget / number.is))
+        format!("{} times", format_number(budget / number.value))
     }
 }
 
-fn seeds_of(seeds: &[Run]) -> String {
+fn seed_list(seeds: &[Run]) -> String {
     let numbers: BTreeSet<u64> = seeds.iter().map(|run| run.seed).collect();
     let numbers: Vec<String> = numbers.iter().map(u64::to_string).collect();
     format!("{} {}", if numbers.len() == 1 { "seed" } else { "seeds" }, numbers.join(", "))
 }
 
-/// What was run, and under which conditions.
+/// Renders the table of the runs: axis, seeds and fixed conditions of each.
 fn runs_table(runs: &BTreeMap<String, Vec<Run>>) -> String {
-    let mut table = heads(&["run", "axis", "from", "to", "seeds", "held fixed"]);
+    let mut table = table_head(&["run", "axis", "from", "to", "seeds", "held fixed"]);
     for (name, seeds) in runs {
         let all = || seeds.iter().flat_map(|run| &run.points).map(|point| point.x);
         let first = seeds.first();
@@ -161,69 +165,72 @@
         let cells = [
             format!("`{name}`"),
             first.map_or_else(String::new, |run| run.axis.clone()),
-            written(all().fold(f64::INFINITY, f64::min)),
-            written(all().fold(f64::NEG_INFINITY, f64::max)),
-            seeds_of(seeds),
+            format_number(all().fold(f64::INFINITY, f64::min)),
+            format_number(all().fold(f64::NEG_INFINITY, f64::max)),
+            seed_list(seeds),
             fixed.join("; "),
         ];
-        line(&mut table, &cells);
+        push_row(&mut table, &cells);
     }
     table
 }
 
-/// Each figure of each run as a line over its axis.
+/// Renders the table with the fitted line of each figure of each run.
 fn slopes_table(runs: &BTreeMap<String, Vec<Run>>) -> String {
-    let mut table = heads(&["run", "figure", "at 0", "slope", "left over", "least", "most"]);
+    let mut table = table_head(&["run", "figure", "at 0", "slope", "left over", "least", "most"]);
     for (name, seeds) in runs {
         let points = || seeds.iter().flat_map(|run| &run.points);
         let figures: BTreeSet<&String> = points().flat_map(|point| point.figures.keys()).collect();
         for figure in figures {
             let all: Vec<f64> = points().filter_map(|point| point.figures.get(figure).copied()).collect();
             let fit = Fit::of_figure(seeds, figure);
-            let of = |what: fn(&Fit) -> f64| fit.map_or_else(|| "-".to_owned(), |fit| written(what(&fit)));
+            let of =
+                |what: fn(&Fit) -> f64| fit.map_or_else(|| "-".to_owned(), |fit| format_number(what(&fit)));
             let cells = [
                 format!("`{name}`"),
                 format!("`{figure}`"),
                 of(|fit| fit.at(0.0)),
                 fit.map_or_else(
                     || "-".to_owned(),
-                    |fit| Number { is: fit.slope, error: fit.slope_error }.to_string(),
+                    |fit| Number { value: fit.slope, error: fit.slope_error }.to_string(),
                 ),
                 of(|fit| fit.residual),
-                written(all.iter().copied().fold(f64::INFINITY, f64::min)),
-                written(all.iter().copied().fold(f64::NEG_INFINITY, f64::max)),
+                format_number(all.iter().copied().fold(f64::INFINITY, f64::min)),
+                format_number(all.iter().copied().fold(f64::NEG_INFINITY, f64::max)),
             ];
-            line(&mut table, &cells);
+            push_row(&mut table, &cells);
         }
     }
     table
 }
 
-/// The page with each table in its place.
-fn filled(page: &str, tables: &BTreeMap<String, String>) -> Result<String, String> {
+/// Returns the page with the text between the markers of each table replaced.
+fn fill_tables(page: &str, tables: &BTreeMap<String, String>) -> Result<String, String> {
     let mut text = String::with_capacity(page.len());
-    let mut wanted: BTreeSet<&String> = tables.keys().collect();
+    let mut unplaced: BTreeSet<&String> = tables.keys().collect();
     let mut lines = (1..).zip(page.lines());
     while let Some((at, line)) = lines.next() {
         text.push_str(line);
         text.push('\n');
-        let Some(name) = line.strip_prefix(BEGIN).and_then(|rest| rest.strip_suffix(BEGIN_END)) else {
+        let Some(name) =
+            line.strip_prefix(TABLE_BEGIN).and_then(|rest| rest.strip_suffix(TABLE_BEGIN_SUFFIX))
+        else {
             continue;
         };
         let Some((name, table)) = tables.get_key_value(name) else {
-            return Err(format!("line {at}: no row is of the table {name}"));
+            return Err(format!("line {at}: unknown table {name}: no row belongs to it"));
         };
-        if !wanted.remove(name) {
-            return Err(format!("line {at}: the table {name} stands here for a second time"));
+        if !unplaced.remove(name) {
+            return Err(format!("line {at}: duplicate table {name}"));
         }
-        let end = lines.by_ref().find(|(_, line)| *line == END || line.starts_with(BEGIN));
-        if end.is_none_or(|(_, line)| line != END) {
-            return Err(format!("line {at}: the table {name} has no {END}"));
+        let end = lines.by_ref().find(|(_, line)| *line == TABLE_END || line.starts_with(TABLE_BEGIN));
+        if end.is_none_or(|(_, line)| line != TABLE_END) {
+            return Err(format!("line {at}: table {name} has no {TABLE_END}"));
         }
-        text.push_str(&format!("\n{table}\n{END}\n"));
+        text.push_str(&format!("\n{table}\n{TABLE_END}\n"));
     }
-    match wanted.first() {
-        Some(name) => Err(format!("no place for the table {name}")),
+    match unplaced.first() {
+        Some(name) => Err(format!("page has no marker for table {name}")),
         None => Ok(text),
     }
 }
--- a/testbed/src/scale/page/number.rs
+++ b/testbed/src/scale/page/number.rs
@@ -1,29 +1,32 @@
-//! Numbers with their error, and how they are written.
+//! Numbers with a standard error, and their formatting.
 
 use std::fmt;
 use std::ops::{Add, Div, Mul};
 
-/// An error below this part of its number is not shown.
-const UNSEEN: f64 = 1e-4;
+/// A relative error up to this is not shown: the number itself has fewer digits.
+const MIN_SHOWN_RELATIVE_ERROR: f64 = 1e-4;
 
-/// What was worked out, and its standard error. Errors of different figures are taken as independent.
+/// A number and its standard error. The errors of two operands are assumed to be independent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Number {
-    /// The number.
-    pub is: f64,
-    /// In its unit; 0 for what is known exactly.
+    /// The number itself.
+    pub value: f64,
+    /// Standard error, in the unit of the number; 0 for exact numbers.
     pub error: f64,
 }
 
 impl Number {
-    /// One without an error.
-    pub fn exact(is: f64) -> Number {
-        Number { is, error: 0.0 }
+    /// Creates a number without an error.
+    pub fn exact(value: f64) -> Number {
+        Number { value, error: 0.0 }
     }
 
-    /// Raised to an exact power.
-    pub fn power(self, by: f64) -> Number {
-        Number { is: self.is.powf(by), error: (by * self.is.powf(by - 1.0) * self.error).abs() }
+    /// Raises the number to an exact power.
+    pub fn power(self, exponent: f64) -> Number {
+        Number {
+            value: self.value.powf(exponent),
+            error: (exponent * self.value.powf(exponent - 1.0) * self.error).abs(),
+        }
     }
 }
 
@@ -31,7 +34,7 @@
     type Output = Number;
 
     fn add(self, other: Number) -> Number {
-        Number { is: self.is + other.is, error: self.error.hypot(other.error) }
+        Number { value: self.value + other.value, error: self.error.hypot(other.error) }
     }
 }
 
@@ -39,7 +42,10 @@
     type Output = Number;
 
     fn mul(self, other: Number) -> Number {
-        Number { is: self.is * other.is, error: (self.error * other.is).hypot(other.error * self.is) }
+        Number {
+            value: self.value * other.value,
+            error: (self.error * other.value).hypot(other.error * self.value),
+        }
     }
 }
 
@@ -47,39 +53,43 @@
     type Output = Number;
 
     fn div(self, other: Number) -> Number {
-        let is = self.is / other.is;
-        Number { is, error: (self.error / other.is).hypot(is * other.error / other.is) }
+        let value = self.value / other.value;
+        Number { value, error: (self.error / other.value).hypot(value * other.error / other.value) }
     }
 }
 
 impl fmt::Display for Number {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&written(self.is))?;
-        // Less than what is written of the number itself.
-        if self.error > UNSEEN * self.is.abs() { write!(f, " ± {}", digits(self.error, 2)) } else { Ok(()) }
+        f.write_str(&format_number(self.value))?;
+        if self.error > MIN_SHOWN_RELATIVE_ERROR * self.value.abs() {
+            write!(f, " ± {}", format_digits(self.error, 2))
+        } else {
+            Ok(())
+        }
     }
 }
 
-/// To three digits, and all of those before the point.
-pub fn written(number: f64) -> String {
-    digits(number, 3)
+/// Formats a number with three significant digits, or all its integer digits if there are more, in groups of
+/// three.
+pub fn format_number(number: f64) -> String {
+    format_digits(number, 3)
 }
 
-fn digits(number: f64, most: i32) -> String {
+fn format_digits(number: f64, significant_digits: i32) -> String {
     if !number.is_finite() {
         return number.to_string();
     }
-    let before = if number == 0.0 { 1 } else { number.abs().log10().floor() as i32 + 1 };
-    let text = format!("{number:.*}", usize::try_from(most - before).unwrap_or(0));
-    let (whole, part) = text.split_once('.').unwrap_or((&text, ""));
-    let (sign, whole) = whole.strip_prefix('-').map_or(("", whole), |whole| ("-", whole));
+    let integer_digits = if number == 0.0 { 1 } else { number.abs().log10().floor() as i32 + 1 };
+    let text = format!("{number:.*}", usize::try_from(significant_digits - integer_digits).unwrap_or(0));
+    let (integer, fraction) = text.split_once('.').unwrap_or((&text, ""));
+    let (sign, integer) = integer.strip_prefix('-').map_or(("", integer), |integer| ("-", integer));
     let mut grouped = sign.to_owned();
-    for (n, digit) in whole.char_indices() {
-        if n > 0 && (whole.len() - n) % 3 == 0 {
+    for (n, digit) in integer.char_indices() {
+        if n > 0 && (integer.len() - n) % 3 == 0 {
             grouped.push(',');
         }
         grouped.push(digit);
     }
-    let part = part.trim_end_matches('0');
-    if part.is_empty() { grouped } else { format!("{grouped}.{part}") }
+    let fraction = fraction.trim_end_matches('0');
+    if fraction.is_empty() { grouped } else { format!("{grouped}.{fraction}") }
 }
--- a/testbed/src/scale/page/rows.rs
+++ b/testbed/src/scale/page/rows.rs
@@ -1,55 +1,56 @@
-//! The rows of the tables as `rows.toml` has them.
+//! The format of `rows.toml`, which defines the rows of the tables.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 
-/// All that is worked out.
+/// The whole file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Book {
-    /// Numbers with a name, each in one place.
+pub struct RowsFile {
+    /// Named numbers that rows refer to.
     #[serde(default)]
     pub counts: BTreeMap<String, Count>,
-    /// In their order on the page.
+    /// Rows in the order of the page.
     #[serde(default, rename = "row")]
     pub rows: Vec<Row>,
 }
 
-/// A number of the operators' letter, or one that the page says to be assumed; and of what it is.
+/// A number stated by the operators, or one that the page calls an assumption, and the label of what it
+/// counts.
 #[derive(Deserialize)]
 pub struct Count(pub f64, pub String);
 
-/// One line of a table.
+/// One row of a table.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// Which table.
+    /// Name of the table.
     pub table: String,
-    /// By which later rows use its outcome.
+    /// Name under which later rows can use the result.
     pub name: Option<String>,
-    /// What is worked out.
+    /// Description of the result.
     pub what: String,
-    /// Products that are added up; none for what cannot be worked out yet.
+    /// Products that are added up; empty if there is no way to calculate the result yet.
     #[serde(default)]
     pub sum: Vec<Vec<Factor>>,
-    /// Of the outcome and the budget.
+    /// Unit of the result and the budget.
     #[serde(default)]
     pub unit: String,
-    /// The most that it may be.
+    /// Upper limit of the result.
     pub budget: Option<f64>,
-    /// What carries it, or takes its place.
+    /// The mechanism that keeps the result within its budget, or replaces what is calculated here.
     #[serde(default)]
     pub mechanism: String,
 }
 
-/// A number as it stands, or the name of a count or of an earlier row.
+/// A literal number, or the name of a count or of an earlier row.
 #[derive(Clone, Deserialize)]
 #[serde(untagged, expecting = "a number, or the name of a count or of an earlier row")]
 pub enum Value {
-    /// As it stands.
-    Plain(f64),
-    /// By name.
+    /// A literal number.
+    Literal(f64),
+    /// The name of a count or of an earlier row.
     Named(String),
 }
 
@@ -61,13 +62,13 @@
                  point, most, reaches"
 )]
 pub enum Factor {
-    /// Times it.
+    /// Multiplies by a value.
     Value(Value),
-    /// Divided by it.
+    /// Divides by a value.
     Per(Per),
-    /// Times a power.
+    /// Multiplies by a power.
     Power(Power),
-    /// Times what was measured.
+    /// Multiplies by a measured figure.
     Measured(Measured),
 }
 
@@ -75,7 +76,7 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Per {
-    /// What it is divided by.
+    /// The divisor.
     pub per: Value,
 }
 
@@ -83,41 +84,41 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Power {
-    /// What is raised, and to which power.
+    /// Base and exponent.
     pub power: [Value; 2],
 }
 
-/// A figure of a run, over all seeds.
+/// A value derived from a figure of a run, over all seeds.
 #[derive(Deserialize)]
-#[serde(try_from = "Written")]
+#[serde(try_from = "RawMeasured")]
 pub struct Measured {
     /// The run's name.
     pub run: String,
     /// The figure's name.
     pub figure: String,
-    /// The part of the axis that the line goes through; all of it, where not said.
+    /// The range of the axis to which the line is fitted; the whole axis if `None`.
     pub within: Option<[f64; 2]>,
-    /// What is taken of it.
+    /// How the value is derived.
     pub take: Take,
 }
 
-/// What is taken of a figure.
+/// How a value is derived from a figure.
 pub enum Take {
-    /// The line's slope.
+    /// The slope of the fitted line.
     Slope,
-    /// The line at this place of the axis.
+    /// The value of the fitted line at this `x`.
     At(Value),
-    /// The mean of the seeds at this place, which has to be measured.
+    /// The mean over the seeds at this `x`, which must be a point of the run.
     Point(f64),
-    /// The greatest of the seeds there.
-    Most(f64),
-    /// Where on the axis the line reaches this.
+    /// The maximum over the seeds at this `x`, which must be a point of the run.
+    Max(f64),
+    /// The `x` at which the fitted line reaches this value.
     Reaches(Value),
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Written {
+struct RawMeasured {
     run: String,
     figure: String,
     within: Option<[f64; 2]>,
@@ -129,18 +130,18 @@
     reaches: Option<Value>,
 }
 
-impl TryFrom<Written> for Measured {
+impl TryFrom<RawMeasured> for Measured {
     type Error = &'static str;
 
-    fn try_from(written: Written) -> Result<Measured, Self::Error> {
-        let Written { run, figure, within, slope, at, point, most, reaches } = written;
+    fn try_from(raw: RawMeasured) -> Result<Measured, Self::Error> {
+        let RawMeasured { run, figure, within, slope, at, point, most, reaches } = raw;
         let take = match (slope, at, point, most, reaches) {
             (true, None, None, None, None) => Take::Slope,
             (false, Some(at), None, None, None) => Take::At(at),
             (false, None, Some(point), None, None) => Take::Point(point),
-            (false, None, None, Some(most), None) => Take::Most(most),
+            (false, None, None, Some(most), None) => Take::Max(most),
             (false, None, None, None, Some(reaches)) => Take::Reaches(reaches),
-            _ => return Err("one of slope = true, at, point, most, reaches"),
+            _ => return Err("a measured figure needs exactly one of slope = true, at, point, most, reaches"),
         };
         Ok(Measured { run, figure, within, take })
     }
--- a/testbed/src/scale/page/working.rs
+++ b/testbed/src/scale/page/working.rs
@@ -1,45 +1,45 @@
-//! Works rows out, and says how.
+//! Evaluates rows, and renders the arithmetic as text.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::number::{Number, written};
+use super::number::{Number, format_number};
 use super::rows::{Count, Factor, Measured, Row, Take, Value};
 use crate::scale::Run;
 use crate::scale::fit::Fit;
 
-/// What came of a row.
+/// The result of a row, a product or a factor.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Worked {
-    /// Nothing where a run is missing, or a line never reaches what it is to reach.
+pub struct Evaluated {
+    /// `None` if a run is missing, or if a fitted line never reaches the required value.
     pub number: Option<Number>,
-    /// The arithmetic.
+    /// The arithmetic as text.
     pub text: String,
-    /// Runs that it rests on.
+    /// Runs that were used.
     pub runs: BTreeSet<String>,
-    /// Runs that it would rest on.
-    pub missing: BTreeSet<String>,
-    /// Where it goes beyond what was measured.
-    pub beyond: BTreeSet<String>,
+    /// Runs that are needed but do not exist.
+    pub missing_runs: BTreeSet<String>,
+    /// Notes on values outside the measured range of a run.
+    pub extrapolations: BTreeSet<String>,
 }
 
-impl Worked {
-    /// Takes over what another one rests on.
-    fn rests_on(&mut self, other: &Worked) {
+impl Evaluated {
+    /// Adds the runs and notes of another result.
+    fn add_sources(&mut self, other: &Evaluated) {
         self.runs.extend(other.runs.iter().cloned());
-        self.missing.extend(other.missing.iter().cloned());
-        self.beyond.extend(other.beyond.iter().cloned());
+        self.missing_runs.extend(other.missing_runs.iter().cloned());
+        self.extrapolations.extend(other.extrapolations.iter().cloned());
     }
 }
 
-/// Works rows out one after another; later ones may use earlier ones.
-pub struct Working<'a> {
+/// Evaluates rows in order; a row may use the named results of earlier ones.
+pub struct Evaluator<'a> {
     counts: &'a BTreeMap<String, Count>,
     runs: &'a BTreeMap<String, Vec<Run>>,
-    /// With their units.
-    named: BTreeMap<String, (Worked, String)>,
+    /// Results of the named rows evaluated so far, with their units.
+    named: BTreeMap<String, (Evaluated, String)>,
 }
 
-/// A line through the seeds of a run, and where it was measured.
+/// A line fitted to the points of all seeds of a run, and the measured range `from..=to` of the axis.
 struct Line {
     fit: Fit,
     mean_x: f64,
@@ -49,191 +49,204 @@
 
 impl Line {
     fn through(points: &[(f64, f64)]) -> Option<Line> {
-        let places = || points.iter().map(|point| point.0);
+        let xs = || points.iter().map(|point| point.0);
         Some(Line {
             fit: Fit::through(points)?,
-            mean_x: places().sum::<f64>() / points.len() as f64,
-            from: places().fold(f64::INFINITY, f64::min),
-            to: places().fold(f64::NEG_INFINITY, f64::max),
+            mean_x: xs().sum::<f64>() / points.len() as f64,
+            from: xs().fold(f64::INFINITY, f64::min),
+            to: xs().fold(f64::NEG_INFINITY, f64::max),
         })
     }
 
-    /// With the line's standard error there, which is that of its middle and of its slope together.
+    /// The line's value at `x` with its standard error, which combines the errors of the mean and of the
+    /// slope.
     fn at(&self, x: f64) -> Number {
         let n = self.fit.points as f64;
-        let middle = self.fit.residual / (n - 2.0).max(1.0).sqrt();
-        Number { is: self.fit.at(x), error: middle.hypot(self.fit.slope_error * (x - self.mean_x)) }
+        let mean_error = self.fit.residual / (n - 2.0).max(1.0).sqrt();
+        Number { value: self.fit.at(x), error: mean_error.hypot(self.fit.slope_error * (x - self.mean_x)) }
     }
 
     fn slope(&self) -> Number {
-        Number { is: self.fit.slope, error: self.fit.slope_error }
+        Number { value: self.fit.slope, error: self.fit.slope_error }
     }
 
-    /// A note where the line goes further than the points that it was drawn through.
-    fn beyond(&self, run: &str, x: f64) -> Option<String> {
+    /// A note if `x` is outside the range of the points that the line was fitted to.
+    fn extrapolation_note(&self, run: &str, x: f64) -> Option<String> {
         let within = (self.from..=self.to).contains(&x);
         (!within).then(|| {
-            format!("beyond its line from {} to {} in `{run}`", written(self.from), written(self.to))
+            format!(
+                "beyond its line from {} to {} in `{run}`",
+                format_number(self.from),
+                format_number(self.to)
+            )
         })
     }
 }
 
-impl<'a> Working<'a> {
-    /// Nothing is worked out yet.
-    pub fn new(counts: &'a BTreeMap<String, Count>, runs: &'a BTreeMap<String, Vec<Run>>) -> Working<'a> {
-        Working { counts, runs, named: BTreeMap::new() }
+impl<'a> Evaluator<'a> {
+    /// Creates an evaluator without results.
+    pub fn new(counts: &'a BTreeMap<String, Count>, runs: &'a BTreeMap<String, Vec<Run>>) -> Evaluator<'a> {
+        Evaluator { counts, runs, named: BTreeMap::new() }
     }
 
-    /// One row.
+    /// Evaluates a row.
     ///
-    /// # Errors
-    /// Where it names a count, row or figure that is not there, or a name is taken.
-    pub fn work_out(&mut self, row: &Row) -> Result<Worked, String> {
+    /// # Errors Returns an error if the row refers to an unknown count, row or figure, or if its name is
+    /// already in use.
+    pub fn evaluate(&mut self, row: &Row) -> Result<Evaluated, String> {
         let mut sum =
-            Worked { number: (!row.sum.is_empty()).then_some(Number::exact(0.0)), ..Worked::default() };
+            Evaluated { number: (!row.sum.is_empty()).then_some(Number::exact(0.0)), ..Evaluated::default() };
         for (n, product) in row.sum.iter().enumerate() {
             let product = self.product(product)?;
-            sum.rests_on(&product);
-            sum.number = sum.number.zip(product.number).map(|(a, b)| a + b);
+            sum.add_sources(&product);
+            sum.number = sum.number.zip(product.number).map(|(left, right)| left + right);
             sum.text += if n > 0 { " + " } else { "" };
             sum.text += &product.text;
         }
         if let Some(name) = &row.name {
-            let taken = self.counts.contains_key(name) || self.named.contains_key(name);
-            if taken {
-                return Err(format!("{name} is the name of another"));
+            let name_taken = self.counts.contains_key(name) || self.named.contains_key(name);
+            if name_taken {
+                return Err(format!("duplicate name {name}"));
             }
             self.named.insert(name.clone(), (sum.clone(), row.unit.clone()));
         }
         Ok(sum)
     }
 
-    fn product(&self, factors: &[Factor]) -> Result<Worked, String> {
-        let mut product = Worked { number: Some(Number::exact(1.0)), ..Worked::default() };
+    fn product(&self, factors: &[Factor]) -> Result<Evaluated, String> {
+        let mut product = Evaluated { number: Some(Number::exact(1.0)), ..Evaluated::default() };
         for (n, factor) in factors.iter().enumerate() {
-            let (sign, worked) = match factor {
+            let (sign, evaluated) = match factor {
                 Factor::Per(per) => ("÷", self.value(&per.per)?),
                 Factor::Value(value) => ("×", self.value(value)?),
                 Factor::Power(power) => ("×", self.power(&power.power)?),
                 Factor::Measured(measured) => ("×", self.measured(measured)?),
             };
-            product.rests_on(&worked);
-            product.number =
-                product.number.zip(worked.number).map(|(a, b)| if sign == "÷" { a / b } else { a * b });
+            product.add_sources(&evaluated);
+            product.number = product
+                .number
+                .zip(evaluated.number)
+                .map(|(left, right)| if sign == "÷" { left / right } else { left * right });
             match (n, sign) {
                 (0, "×") => {}
                 (0, _) => product.text += "1 ÷ ",
                 _ => product.text += &format!(" {sign} "),
             }
-            product.text += &worked.text;
+            product.text += &evaluated.text;
         }
         Ok(product)
     }
 
-    fn value(&self, value: &Value) -> Result<Worked, String> {
-        let exact = |number: f64, text: String| Worked {
+    fn value(&self, value: &Value) -> Result<Evaluated, String> {
+        let exact = |number: f64, text: String| Evaluated {
             number: Some(Number::exact(number)),
             text,
-            ..Worked::default()
+            ..Evaluated::default()
         };
         let name = match value {
-            Value::Plain(number) => return Ok(exact(*number, written(*number))),
+            Value::Literal(number) => return Ok(exact(*number, format_number(*number))),
             Value::Named(name) => name,
         };
-        if let Some(Count(number, of)) = self.counts.get(name) {
-            return Ok(exact(*number, format!("{} {of}", written(*number))));
+        if let Some(Count(number, label)) = self.counts.get(name) {
+            return Ok(exact(*number, format!("{} {label}", format_number(*number))));
         }
-        let (worked, unit) =
-            self.named.get(name).ok_or_else(|| format!("no count or earlier row is {name}"))?;
-        let number = worked.number.map_or_else(|| format!("({name})"), |number| number.to_string());
-        Ok(Worked { text: format!("{number} {unit}").trim_end().to_owned(), ..worked.clone() })
+        let (evaluated, unit) =
+            self.named.get(name).ok_or_else(|| format!("no count or earlier row is named {name}"))?;
+        let number = evaluated.number.map_or_else(|| format!("({name})"), |number| number.to_string());
+        Ok(Evaluated { text: format!("{number} {unit}").trim_end().to_owned(), ..evaluated.clone() })
     }
 
-    fn power(&self, [base, exponent]: &[Value; 2]) -> Result<Worked, String> {
-        let (mut worked, exponent) = (self.value(base)?, self.value(exponent)?);
-        worked.rests_on(&exponent);
-        worked.number = worked.number.zip(exponent.number).map(|(base, exponent)| base.power(exponent.is));
-        worked.text = format!("{} ^ {}", worked.text, exponent.text);
-        Ok(worked)
+    fn power(&self, [base, exponent]: &[Value; 2]) -> Result<Evaluated, String> {
+        let (mut evaluated, exponent) = (self.value(base)?, self.value(exponent)?);
+        evaluated.add_sources(&exponent);
+        evaluated.number =
+            evaluated.number.zip(exponent.number).map(|(base, exponent)| base.power(exponent.value));
+        evaluated.text = format!("{} ^ {}", evaluated.text, exponent.text);
+        Ok(evaluated)
     }
 
-    fn measured(&self, measured: &Measured) -> Result<Worked, String> {
+    fn measured(&self, measured: &Measured) -> Result<Evaluated, String> {
         let Measured { run, figure, within, take } = measured;
-        let other = match take {
+        let argument = match take {
             Take::At(value) | Take::Reaches(value) => self.value(value)?,
-            Take::Slope | Take::Point(_) | Take::Most(_) => Worked::default(),
+            Take::Slope | Take::Point(_) | Take::Max(_) => Evaluated::default(),
         };
-        let mut worked = Worked::default();
-        worked.rests_on(&other);
+        let mut evaluated = Evaluated::default();
+        evaluated.add_sources(&argument);
         let Some(seeds) = self.runs.get(run) else {
-            worked.missing.insert(run.clone());
+            evaluated.missing_runs.insert(run.clone());
             let place = match take {
                 Take::Slope => "slope".to_owned(),
-                Take::At(_) => format!("at {}", other.text),
-                Take::Point(x) => format!("at {}", written(*x)),
-                Take::Most(x) => format!("the most at {}", written(*x)),
-                Take::Reaches(_) => format!("reaches {}", other.text),
+                Take::At(_) => format!("at {}", argument.text),
+                Take::Point(x) => format!("at {}", format_number(*x)),
+                Take::Max(x) => format!("the most at {}", format_number(*x)),
+                Take::Reaches(_) => format!("reaches {}", argument.text),
             };
-            worked.text = format!("(`{figure}`, {place})");
-            return Ok(worked);
+            evaluated.text = format!("(`{figure}`, {place})");
+            return Ok(evaluated);
         };
-        worked.runs.insert(run.clone());
+        evaluated.runs.insert(run.clone());
         let all = seeds.iter().flat_map(|run| &run.points);
-        let mut known: Vec<(f64, f64)> =
+        let mut points: Vec<(f64, f64)> =
             all.filter_map(|point| Some((point.x, *point.figures.get(figure)?))).collect();
-        if known.is_empty() {
+        if points.is_empty() {
             return Err(format!("{run} has no figure {figure}"));
         }
-        if let Take::Point(x) | Take::Most(x) = take {
-            known.retain(|point| point.0 == *x);
-            let number = mean(&known).ok_or_else(|| format!("{run} was not measured at {x}"))?;
-            let most = known.iter().map(|point| point.1).fold(f64::NEG_INFINITY, f64::max);
-            let (number, of) = match take {
-                Take::Most(_) => (Number::exact(most), "most "),
+        if let Take::Point(x) | Take::Max(x) = take {
+            points.retain(|point| point.0 == *x);
+            let number = mean(&points).ok_or_else(|| format!("{run} has no point at {x}"))?;
+            let max = points.iter().map(|point| point.1).fold(f64::NEG_INFINITY, f64::max);
+            let (number, prefix) = match take {
+                Take::Max(_) => (Number::exact(max), "most "),
                 _ => (number, ""),
             };
-            worked.number = Some(number);
-            worked.text = format!("({of}{number} at {})", written(*x));
-            return Ok(worked);
+            evaluated.number = Some(number);
+            evaluated.text = format!("({prefix}{number} at {})", format_number(*x));
+            return Ok(evaluated);
         }
         if let Some([from, to]) = within {
-            known.retain(|point| (*from..=*to).contains(&point.0));
+            points.retain(|point| (*from..=*to).contains(&point.0));
         }
-        let line = Line::through(&known)
-            .ok_or_else(|| format!("{run}: no line goes through {figure}: one place only"))?;
-        let (start, slope) = (written(line.fit.intercept), line.slope());
-        match (take, other.number) {
+        let line = Line::through(&points).ok_or_else(|| {
+            format!("{run}: cannot fit a line to {figure}: fewer than two distinct x values")
+        })?;
+        let (start, slope) = (format_number(line.fit.intercept), line.slope());
+        match (take, argument.number) {
             (Take::At(_), Some(x)) => {
-                let there = line.at(x.is);
-                worked.number = Some(Number { error: there.error.hypot(line.fit.slope * x.error), ..there });
-                worked.beyond.extend(line.beyond(run, x.is));
-                worked.text = format!("({start} + {slope} × {})", other.text);
+                let predicted = line.at(x.value);
+                evaluated.number =
+                    Some(Number { error: predicted.error.hypot(line.fit.slope * x.error), ..predicted });
+                evaluated.extrapolations.extend(line.extrapolation_note(run, x.value));
+                evaluated.text = format!("({start} + {slope} × {})", argument.text);
             }
             (Take::Reaches(_), Some(y)) => {
-                worked.text = format!("({} - {start}) ÷ {slope}", other.text);
-                // A slope that is not told from none reaches nothing.
+                evaluated.text = format!("({} - {start}) ÷ {slope}", argument.text);
+                // A slope within two standard errors of 0 is not significant, so the line reaches nothing.
                 if line.fit.slope > 2.0 * line.fit.slope_error {
-                    let x = (y.is - line.fit.intercept) / line.fit.slope;
-                    worked.number = Some(Number { is: x, error: line.at(x).error / line.fit.slope });
-                    worked.beyond.extend(line.beyond(run, x));
+                    let x = (y.value - line.fit.intercept) / line.fit.slope;
+                    evaluated.number = Some(Number { value: x, error: line.at(x).error / line.fit.slope });
+                    evaluated.extrapolations.extend(line.extrapolation_note(run, x));
                 }
             }
             (Take::At(_) | Take::Reaches(_), None) => {
-                worked.text = format!("({start} + {slope} × {})", other.text);
+                evaluated.text = format!("({start} + {slope} × {})", argument.text);
             }
-            (Take::Slope | Take::Point(_) | Take::Most(_), _) => {
-                worked.number = Some(slope);
-                worked.text = slope.to_string();
+            (Take::Slope | Take::Point(_) | Take::Max(_), _) => {
+                evaluated.number = Some(slope);
+                evaluated.text = slope.to_string();
             }
         }
-        Ok(worked)
+        Ok(evaluated)
     }
 }
 
-/// Of the seeds at one place, with its standard error; none for a single one.
+/// The mean over the seeds at one `x` with its standard error, which is 0 for a single seed.
 fn mean(points: &[(f64, f64)]) -> Option<Number> {
     let n = points.len() as f64;
-    let is = points.iter().map(|point| point.1).sum::<f64>() / n;
-    let left: f64 = points.iter().map(|point| (point.1 - is).powi(2)).sum();
-    (n > 0.0).then(|| Number { is, error: if n > 1.0 { (left / (n - 1.0) / n).sqrt() } else { 0.0 } })
+    let value = points.iter().map(|point| point.1).sum::<f64>() / n;
+    let squared_deviations: f64 = points.iter().map(|point| (point.1 - value).powi(2)).sum();
+    (n > 0.0).then(|| Number {
+        value,
+        error: if n > 1.0 { (squared_deviations / (n - 1.0) / n).sqrt() } else { 0.0 },
+    })
 }
