--- a/fault-injection/src/clock.rs
+++ b/fault-injection/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock.
+//! Offset of the wall clock.
 
 use libc::{c_int, clockid_t, timespec};
 
@@ -9,10 +9,10 @@
 const NANOS_PER_S: i64 = 1_000_000_000;
 const MS_PER_S: i64 = 1000;
 
-/// Stands in for `clock_gettime`.
+/// Replaces `clock_gettime`.
 ///
 /// # Safety
-/// As for the function of the C library.
+/// Same as for the function of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, now: *mut timespec) -> c_int {
     let result = call_next!(clock_gettime(clock: clockid_t, now: *mut timespec) -> c_int);
@@ -20,7 +20,7 @@
         return result;
     }
     let offset = realtime_offset_ms();
-    // SAFETY: not null, and the call before has just written it.
+    // SAFETY: not null, and written by the call above.
     let now = unsafe { &mut *now };
     let nanos = now.tv_nsec + offset.rem_euclid(MS_PER_S) * NANOS_PER_MS;
     let seconds = now.tv_sec.saturating_add(offset.div_euclid(MS_PER_S) + nanos / NANOS_PER_S);
--- a/fault-injection/src/effect.rs
+++ b/fault-injection/src/effect.rs
@@ -1,23 +1,24 @@
-//! What a struck call comes to.
+//! Applies a rule to a call.
 
 use std::time::Duration;
 
 use libc::{c_int, size_t};
 
 use crate::plan::{Call, Rule};
-use crate::state::{Target, strike};
+use crate::state::{Target, match_rule};
 use crate::{errno, waits};
 
-/// What is left to be done about a call that is made.
+/// The part of a rule that applies to a call while it is made, and after it.
 #[derive(Default)]
 pub struct Effect {
     short: Option<usize>,
     kill: bool,
 }
 
-/// Does what comes before the call. `None`: it fails, `errno` is set, and it must not be made.
-pub fn before(call: Call, target: &Target<'_>) -> Option<Effect> {
-    let Some(Rule { error, short, delay_ms, kill, .. }) = strike(call, target) else {
+/// Applies the part of a rule that comes before the call. `None` means that the call fails: `errno` is set,
+/// and the call must not be made.
+pub fn before_call(call: Call, target: &Target<'_>) -> Option<Effect> {
+    let Some(Rule { error, short, delay_ms, kill, .. }) = match_rule(call, target) else {
         return Some(Effect::default());
     };
     if delay_ms > 0 {
@@ -34,28 +35,28 @@
 }
 
 impl Effect {
-    /// Whether fewer bytes are to be moved than the caller may have asked for.
+    /// Whether the call may transfer fewer bytes than the caller requested.
     pub fn is_short(&self) -> bool {
         self.short.is_some()
     }
 
-    /// How many bytes are moved of `length`.
+    /// The number of bytes to transfer, of `length` requested ones.
     pub fn limit(&self, length: size_t) -> size_t {
-        self.short.map_or(length, |most| most.min(length))
+        self.short.map_or(length, |max| max.min(length))
     }
 
-    /// Does what comes after the call.
-    pub fn after(&self, descriptor: c_int) {
+    /// Applies the part of a rule that comes after the call.
+    pub fn after_call(&self, descriptor: c_int) {
         if self.kill {
             kill_self();
         }
         if self.is_short() {
-            waits::notify_again(descriptor);
+            waits::rearm(descriptor);
         }
     }
 }
 
 fn kill_self() {
-    // SAFETY: sending a signal has no precondition.
+    // SAFETY: sending a signal has no preconditions.
     unsafe { libc::kill(libc::getpid(), libc::SIGKILL) };
 }
--- a/fault-injection/src/errno.rs
+++ b/fault-injection/src/errno.rs
@@ -4,7 +4,7 @@
 
 macro_rules! numbers {
     ($($name:ident)*) => {
-        /// The number of the error with this name.
+        /// Returns the number of the error with this name.
         pub fn by_name(name: &str) -> Option<c_int> {
             match name {
                 $(stringify!($name) => Some(libc::$name),)*
@@ -22,7 +22,7 @@
     EPROTONOSUPPORT EPROTOTYPE EROFS ESHUTDOWN ESOCKTNOSUPPORT ESTALE ETIMEDOUT ETXTBSY EWOULDBLOCK EXDEV
 }
 
-/// The calling thread's error number.
+/// Returns the calling thread's error number.
 pub fn get() -> c_int {
     // SAFETY: the C library gives every thread a valid location of its own.
     unsafe { *libc::__errno_location() }
--- a/fault-injection/src/files.rs
+++ b/fault-injection/src/files.rs
@@ -1,4 +1,4 @@
-//! Files, apart from reads and writes.
+//! Calls on files other than reads and writes.
 
 use std::ffi::CStr;
 
@@ -7,22 +7,24 @@
 use crate::next::{call_next, interpose};
 use crate::state::Target;
 
-/// The caller's path, empty where there is none.
+/// The caller's path, empty if it is null.
 fn path<'a>(path: *const c_char) -> &'a CStr {
     if path.is_null() {
         return c"";
     }
-    // SAFETY: the caller's path is a C string for the length of the call, or the call itself would be unsound.
+    // SAFETY: the caller has to pass a C string that is valid for the duration of the call, as the C function
+    // requires.
     unsafe { CStr::from_ptr(path) }
 }
 
-// The mode is a variable argument in C, passed as the last fixed one is; it is passed on, given or not.
+// In C the mode is a variadic argument, which is passed like a fixed one. It is forwarded even if the caller
+// gave none.
 interpose!(Open, Target::Paths(&[path(name)]), open(name: *const c_char, flags: c_int, mode: mode_t) -> c_int);
 interpose!(Open, Target::Paths(&[path(name)]), open64(name: *const c_char, flags: c_int, mode: mode_t) -> c_int);
 interpose!(Open, Target::Paths(&[path(name)]),
-    openat(folder: c_int, name: *const c_char, flags: c_int, mode: mode_t) -> c_int);
+    openat(directory: c_int, name: *const c_char, flags: c_int, mode: mode_t) -> c_int);
 interpose!(Open, Target::Paths(&[path(name)]),
-    openat64(folder: c_int, name: *const c_char, flags: c_int, mode: mode_t) -> c_int);
+    openat64(directory: c_int, name: *const c_char, flags: c_int, mode: mode_t) -> c_int);
 interpose!(Fsync, Target::Descriptor(file), fsync(file: c_int) -> c_int);
 interpose!(Fsync, Target::Descriptor(file), fdatasync(file: c_int) -> c_int);
 interpose!(Rename, Target::Paths(&[path(from), path(to)]),
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -1,12 +1,14 @@
-//! Preloaded into a program under test (`LD_PRELOAD`), this library lets system calls fail, be cut short, be delayed
-//! or kill the process, as the JSON file named by `FAULT_INJECTION_PLAN` says, and offsets the wall clock.
+//! A library for `LD_PRELOAD` that injects faults into a program under test: system calls fail, transfer
+//! fewer bytes, are delayed or kill the process, and the wall clock is offset. The plan is a JSON file named
+//! by `FAULT_INJECTION_PLAN`.
 //!
-//! A plan that is replaced (by a rename) holds from the next call on; its rules begin anew. How often each rule has
-//! struck is written to `<plan>.counts`, or to the plan's `counts`, one line per rule; an invalid plan strikes nothing
-//! and is reported there and on standard error. With `FAULT_INJECTION_PROGRAM` set, only the program of that file name
-//! is affected, not a shell that starts it.
+//! A plan can be replaced at any time by renaming another file over it. It takes effect with the next call,
+//! with all counts reset. The number of times each rule was applied is written to `<plan>.counts`, or to the
+//! file named by the plan's `counts`, one line per rule. An invalid plan injects nothing and is reported
+//! there and on standard error. If `FAULT_INJECTION_PROGRAM` is set, only the program with that file name is
+//! affected, not a shell that starts it.
 //!
-//! This is the one package of the workspace with `unsafe`: the calls that it stands in for are C functions.
+//! This is the only package of the workspace with `unsafe` code, since it replaces C functions.
 #![warn(missing_docs)]
 #![deny(unsafe_op_in_unsafe_fn)]
 
--- a/fault-injection/src/plan.rs
+++ b/fault-injection/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a plan may say, and what it may not.
+//! The format of a plan, and its validation.
 
 use std::num::NonZeroUsize;
 use std::path::PathBuf;
@@ -9,9 +9,9 @@
 
 use crate::errno;
 
-/// A call that rules name. Its variants in the C library count as the same call: `accept` is `accept4`; `recvfrom` and
-/// `recvmsg` are `recv`; `sendto` and `sendmsg` are `send`; `epoll_pwait` is `epoll_wait`; `openat` is `open`;
-/// `fdatasync` is `fsync`; `renameat` is `rename`.
+/// A call in a rule. It includes its variants in the C library: `accept` is `accept4`; `recvfrom` and
+/// `recvmsg` are `recv`; `sendto` and `sendmsg` are `send`; `epoll_pwait` is `epoll_wait`; `openat` is
+/// `open`; `fdatasync` is `fsync`; `renameat` is `rename`.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
@@ -32,20 +32,20 @@
 }
 
 impl Call {
-    /// Whether it moves bytes, so that it can be cut short.
+    /// Whether the call transfers bytes, so that it can be shortened.
     fn is_transfer(self) -> bool {
         use Call::*;
         matches!(self, Recv | Send | Read | Write | Readv | Writev)
     }
 
-    /// Whether it is about a file, which has a path.
+    /// Whether the call is on a file, which has a path.
     fn has_path(self) -> bool {
         use Call::*;
         matches!(self, Read | Write | Readv | Writev | Open | Fsync | Rename | Flock)
     }
 }
 
-/// An error number, written by its name.
+/// An error number, given by name in a plan.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(try_from = "String")]
 pub struct Errno(pub c_int);
@@ -58,31 +58,31 @@
     }
 }
 
-/// When a call is struck, and how.
+/// Which calls are affected, and how.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Which call.
+    /// The call.
     pub call: Call,
-    /// Only where a path of the call, or of its descriptor, contains this.
+    /// Restricts the rule to calls with a path, of an argument or of the descriptor, that contains this text.
     pub path: Option<String>,
-    /// It fails with this error and is not made.
+    /// The call is not made and fails with this error.
     pub error: Option<Errno>,
-    /// At most so many bytes are moved.
+    /// Maximum number of bytes to transfer.
     pub short: Option<NonZeroUsize>,
-    /// Milliseconds that pass before the call.
+    /// Delay before the call, in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
-    /// The process is killed before the call, or after it where it is cut short.
+    /// Kills the process before the call, or after it if `short` is set.
     #[serde(default)]
     pub kill: bool,
-    /// How likely a matching call is struck.
+    /// Probability that the rule is applied to a matching call.
     #[serde(default = "always")]
     pub probability: f64,
-    /// So many matching calls are let through first.
+    /// Number of matching calls to skip first.
     #[serde(default)]
     pub skip: u64,
-    /// So many are struck at most.
+    /// Maximum number of calls to which the rule is applied.
     pub count: Option<u64>,
 }
 
@@ -90,66 +90,66 @@
     1.0
 }
 
-/// All that is to go wrong. Rules are tried in their order; the first that strikes is the only one for that call.
+/// A plan. Rules are tried in order; only the first one that applies to a call takes effect.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Of the generator for probabilities.
+    /// Seed of the random number generator for `probability`.
     #[serde(default)]
     pub seed: u64,
-    /// What happens to which calls.
+    /// The rules, in order.
     #[serde(default)]
     pub rules: Vec<Rule>,
-    /// Added to the wall clock; the monotonic clocks run on.
+    /// Offset of the wall clock in milliseconds. The monotonic clocks are not affected.
     #[serde(default)]
     pub realtime_offset_ms: i64,
-    /// Where the counts are written, if not to `<plan>.counts`.
+    /// File for the counts; `<plan>.counts` if `None`.
     pub counts: Option<PathBuf>,
 }
 
-/// Why a plan is of no use.
+/// Why a plan is invalid.
 #[derive(Debug, Error)]
 pub enum PlanError {
-    /// No error of Linux has this name.
-    #[error("{0:?} is no error name of Linux")]
+    /// Linux has no error of this name.
+    #[error("unknown Linux error name {0:?}")]
     UnknownErrno(String),
-    /// It is no JSON, or says something that no rule has.
+    /// The plan is not valid JSON, or has unknown or missing fields.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The file cannot be read.
+    /// The file could not be read.
     #[error(transparent)]
     Unreadable(#[from] std::io::Error),
-    /// A rule has a key that its call has no use for, or a value outside its range.
-    #[error("rule {rule}: {what}")]
-    Unfit { rule: usize, what: &'static str },
+    /// A rule has a field that does not apply to its call, or a value outside its range.
+    #[error("rule {rule}: {reason}")]
+    InvalidRule { rule: usize, reason: &'static str },
 }
 
 impl Plan {
-    /// Reads a plan.
+    /// Parses and validates a plan.
     pub fn parse(text: &[u8]) -> Result<Plan, PlanError> {
         let plan: Plan = serde_json::from_slice(text)?;
         for (rule, entry) in plan.rules.iter().enumerate() {
-            if let Some(what) = unfit(entry) {
-                return Err(PlanError::Unfit { rule, what });
+            if let Some(reason) = rule_problem(entry) {
+                return Err(PlanError::InvalidRule { rule, reason });
             }
         }
         Ok(plan)
     }
 }
 
-/// What does not fit together in a rule.
-fn unfit(rule: &Rule) -> Option<&'static str> {
+/// Describes what is invalid in a rule, if anything.
+fn rule_problem(rule: &Rule) -> Option<&'static str> {
     if rule.short.is_some() && !rule.call.is_transfer() {
-        return Some("`short` is for calls that move bytes");
+        return Some("`short` applies only to calls that transfer bytes");
     }
     if rule.path.is_some() && !rule.call.has_path() {
-        return Some("`path` is for calls on files");
+        return Some("`path` applies only to calls on files");
     }
     if rule.error.is_some() && (rule.short.is_some() || rule.kill) {
-        return Some("a call with an `error` is not made: no `short`, no `kill`");
+        return Some("`error` cannot be combined with `short` or `kill`: the call is not made");
     }
     if !(0.0..=1.0).contains(&rule.probability) {
-        return Some("`probability` lies between 0 and 1");
+        return Some("`probability` must be between 0 and 1");
     }
     None
 }
--- a/fault-injection/src/sockets.rs
+++ b/fault-injection/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Making connections.
+//! Calls that create connections.
 
 use libc::{c_int, sockaddr, socklen_t};
 
--- a/fault-injection/src/state.rs
+++ b/fault-injection/src/state.rs
@@ -1,4 +1,4 @@
-//! The plan in force and how often each of its rules has struck.
+//! The current plan, and how often each of its rules was applied.
 
 use std::cell::Cell;
 use std::ffi::{CStr, OsString};
@@ -16,149 +16,158 @@
 use crate::errno;
 use crate::plan::{Call, Plan, PlanError, Rule};
 
-/// Names the plan's file.
-const PLAN: &str = "FAULT_INJECTION_PLAN";
-/// The file name of the one program that is affected; all are without it.
-const PROGRAM: &str = "FAULT_INJECTION_PROGRAM";
+/// Environment variable with the path of the plan.
+const PLAN_VARIABLE: &str = "FAULT_INJECTION_PLAN";
+/// Environment variable with the file name of the only program that is affected. If unset, every program is.
+const PROGRAM_VARIABLE: &str = "FAULT_INJECTION_PROGRAM";
 
-/// What a call is about, for rules with a path.
+/// The object of a call, for rules with a path.
 pub enum Target<'a> {
-    /// Nothing that has a path.
+    /// An object without a path.
     None,
-    /// What the descriptor was opened as.
+    /// The file that the descriptor refers to.
     Descriptor(c_int),
-    /// These paths.
+    /// The paths in the call's arguments.
     Paths(&'a [&'a CStr]),
 }
 
 thread_local! {
-    // Without a destructor, so it can be used for as long as the thread runs.
-    static INSIDE: Cell<bool> = const { Cell::new(false) };
+    // A `Cell<bool>` has no destructor, so it stays usable while the thread's other thread-locals are
+    // destroyed.
+    static INTERCEPTING: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Held by a thread while this library works: the calls that it makes itself are let through. So are those of a signal
-/// handler that interrupts it, which could never get at the lock.
-pub struct Inside;
+/// Marks the current thread as running this library's own code, whose system calls are not intercepted. The
+/// same holds for a signal handler that interrupts this code: it would deadlock on the lock of the state.
+pub struct ReentryGuard;
 
-impl Inside {
-    /// `None` where this thread is inside already.
-    pub fn enter() -> Option<Inside> {
-        let entered = INSIDE.try_with(|inside| !inside.replace(true)).unwrap_or(false);
-        entered.then(|| Inside)
+impl ReentryGuard {
+    /// Returns `None` if this thread already runs this library's code.
+    pub fn enter() -> Option<ReentryGuard> {
+        let acquired = INTERCEPTING.try_with(|intercepting| !intercepting.replace(true)).unwrap_or(false);
+        acquired.then(|| ReentryGuard)
     }
 }
 
-impl Drop for Inside {
+impl Drop for ReentryGuard {
     fn drop(&mut self) {
-        let _ = INSIDE.try_with(|inside| inside.set(false));
+        let _ = INTERCEPTING.try_with(|intercepting| intercepting.set(false));
     }
 }
 
-/// Which file was read last: a rename puts another one there.
-type Version = (u64, i64, i64, u64);
+/// Identifies the file that was read last, by inode, modification time and size. A rename puts another inode
+/// there.
+type FileVersion = (u64, i64, i64, u64);
 
 struct State {
     path: PathBuf,
-    version: Option<Version>,
+    file_version: Option<FileVersion>,
     plan: Plan,
-    /// Of each rule, how many matching calls there were, and how many were struck.
-    seen: Vec<(u64, u64)>,
+    /// For each rule the number of matching calls, and the number of calls to which it was applied.
+    rule_counts: Vec<(u64, u64)>,
     rng: Pcg32,
 }
 
-/// The rule that strikes this call, if one does.
-pub fn strike(call: Call, target: &Target<'_>) -> Option<Rule> {
-    let _inside = Inside::enter()?;
+/// Returns the rule that applies to this call, if any, and counts it.
+pub fn match_rule(call: Call, target: &Target<'_>) -> Option<Rule> {
+    let _guard = ReentryGuard::enter()?;
     let errno = errno::get();
-    let struck = in_force().and_then(|mut state| state.strike(call, target));
+    let applied = lock_current_state().and_then(|mut state| state.match_rule(call, target));
     errno::set(errno);
-    struck
+    applied
 }
 
-/// Milliseconds to be added to the wall clock.
+/// Milliseconds to add to the wall clock.
 pub fn realtime_offset_ms() -> i64 {
-    let Some(_inside) = Inside::enter() else { return 0 };
+    let Some(_guard) = ReentryGuard::enter() else { return 0 };
     let errno = errno::get();
-    let offset = in_force().map_or(0, |state| state.plan.realtime_offset_ms);
+    let offset = lock_current_state().map_or(0, |state| state.plan.realtime_offset_ms);
     errno::set(errno);
     offset
 }
 
-/// The state with the plan as its file has it now; `None` where this program has no plan. Only for a thread that is
-/// [`Inside`].
-fn in_force() -> Option<MutexGuard<'static, State>> {
+/// Locks the state, after reloading the plan if its file has changed. `None` if this program has no plan. The
+/// calling thread must hold a [`ReentryGuard`].
+fn lock_current_state() -> Option<MutexGuard<'static, State>> {
     static STATE: OnceLock<Option<Mutex<State>>> = OnceLock::new();
     let state = STATE.get_or_init(|| plan_path().map(|path| Mutex::new(State::new(path)))).as_ref()?;
     let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
-    state.refresh();
+    state.reload_if_changed();
     Some(state)
 }
 
 fn plan_path() -> Option<PathBuf> {
-    let path = std::env::var_os(PLAN)?;
-    let Some(program) = std::env::var_os(PROGRAM) else { return Some(path.into()) };
-    let own = std::env::current_exe().ok()?;
-    (own.file_name() == Some(&program)).then(|| path.into())
+    let path = std::env::var_os(PLAN_VARIABLE)?;
+    let Some(program) = std::env::var_os(PROGRAM_VARIABLE) else { return Some(path.into()) };
+    let executable = std::env::current_exe().ok()?;
+    (executable.file_name() == Some(&program)).then(|| path.into())
 }
 
 impl State {
     fn new(path: PathBuf) -> State {
-        State { path, version: None, plan: Plan::default(), seen: Vec::new(), rng: Pcg32::seed_from_u64(0) }
+        State {
+            path,
+            file_version: None,
+            plan: Plan::default(),
+            rule_counts: Vec::new(),
+            rng: Pcg32::seed_from_u64(0),
+        }
     }
 
-    /// Takes up the plan's file if it is another one than before. What cannot be looked at leaves all as it is.
-    fn refresh(&mut self) {
+    /// Reloads the plan if its file has been replaced. Keeps the current one if the file's metadata cannot be
+    /// read.
+    fn reload_if_changed(&mut self) {
         let Ok(metadata) = fs::metadata(&self.path) else { return };
-        let version = Some(version(&metadata));
-        if version == self.version {
+        let file_version = Some(file_version(&metadata));
+        if file_version == self.file_version {
             return;
         }
-        let read = fs::read(&self.path).map_err(PlanError::from).and_then(|text| Plan::parse(&text));
-        self.version = version;
-        let error = read.as_ref().err().map(ToString::to_string);
-        self.plan = read.unwrap_or_default();
-        self.seen = vec![(0, 0); self.plan.rules.len()];
+        let parsed = fs::read(&self.path).map_err(PlanError::from).and_then(|text| Plan::parse(&text));
+        self.file_version = file_version;
+        let error = parsed.as_ref().err().map(ToString::to_string);
+        self.plan = parsed.unwrap_or_default();
+        self.rule_counts = vec![(0, 0); self.plan.rules.len()];
         self.rng = Pcg32::seed_from_u64(self.plan.seed);
         match error {
             None => self.write_counts(),
             Some(error) => {
                 let _ = writeln!(std::io::stderr(), "fault-injection: {}: {error}", self.path.display());
-                self.write(&format!("error: {error}\n"));
+                self.replace_counts_file(&format!("error: {error}\n"));
             }
         }
     }
 
-    fn strike(&mut self, call: Call, target: &Target<'_>) -> Option<Rule> {
-        let State { plan, seen, rng, .. } = self;
-        let struck = plan.rules.iter().zip(seen).find_map(|(rule, (matching, struck))| {
+    fn match_rule(&mut self, call: Call, target: &Target<'_>) -> Option<Rule> {
+        let State { plan, rule_counts, rng, .. } = self;
+        let applied = plan.rules.iter().zip(rule_counts).find_map(|(rule, (matching, applied))| {
             if rule.call != call || !matches(rule, target) {
                 return None;
             }
             *matching += 1;
-            let done = rule.count.is_some_and(|count| *struck >= count);
-            if *matching <= rule.skip || done || !by_chance(rng, rule.probability) {
+            let exhausted = rule.count.is_some_and(|count| *applied >= count);
+            if *matching <= rule.skip || exhausted || !is_chosen(rng, rule.probability) {
                 return None;
             }
-            *struck += 1;
+            *applied += 1;
             Some(rule.clone())
         });
-        if struck.is_some() {
+        if applied.is_some() {
             self.write_counts();
         }
-        struck
+        applied
     }
 
     fn write_counts(&self) {
-        let lines: String = self.seen.iter().map(|(_, struck)| format!("{struck}\n")).collect();
-        self.write(&lines);
+        let lines: String = self.rule_counts.iter().map(|(_, applied)| format!("{applied}\n")).collect();
+        self.replace_counts_file(&lines);
     }
 
-    /// Replaces the file with the counts, so that nobody reads half of it.
-    fn write(&self, text: &str) {
+    /// Replaces the file with the counts by a rename, so that readers never see a partially written one.
+    fn replace_counts_file(&self, text: &str) {
         let path = self.plan.counts.clone().unwrap_or_else(|| with_suffix(&self.path, ".counts"));
-        let new = with_suffix(&path, &format!(".{}", std::process::id()));
-        if fs::write(&new, text).is_ok() {
-            let _ = fs::rename(&new, &path);
+        let temporary = with_suffix(&path, &format!(".{}", std::process::id()));
+        if fs::write(&temporary, text).is_ok() {
+            let _ = fs::rename(&temporary, &path);
         }
     }
 }
@@ -169,17 +178,18 @@
     name.into()
 }
 
-fn version(metadata: &Metadata) -> Version {
+fn file_version(metadata: &Metadata) -> FileVersion {
     (metadata.ino(), metadata.mtime(), metadata.mtime_nsec(), metadata.size())
 }
 
-fn by_chance(rng: &mut Pcg32, probability: f64) -> bool {
+fn is_chosen(rng: &mut Pcg32, probability: f64) -> bool {
     probability >= 1.0 || f64::from(rng.next_u32()) / (f64::from(u32::MAX) + 1.0) < probability
 }
 
 fn matches(rule: &Rule, target: &Target<'_>) -> bool {
-    let Some(part) = rule.path.as_deref() else { return true };
-    let contains = |path: &[u8]| path.windows(part.len().max(1)).any(|window| window == part.as_bytes());
+    let Some(fragment) = rule.path.as_deref() else { return true };
+    let contains =
+        |path: &[u8]| path.windows(fragment.len().max(1)).any(|window| window == fragment.as_bytes());
     match target {
         Target::None => false,
         Target::Descriptor(descriptor) => fs::read_link(format!("/proc/self/fd/{descriptor}"))
