--- a/testbed/src/events.rs
+++ b/testbed/src/events.rs
@@ -17,7 +17,7 @@
 use crate::fleet::{FleetError, Proxy};
 use crate::ledger::Rule;
 use crate::link::Link;
-use crate::scenario::{Direction, Event, Fault, Latency, LinkSelector, Selector, Zone};
+use crate::scenario::{Direction, Event, Fault, Latency, LinkSet, Selector, Zone};
 use crate::servers::{Mood, Play, Server};
 
 /// How often the condition of an event with `when_served` is checked.
@@ -92,7 +92,7 @@
     }
 
     /// The paths that a fault affects.
-    fn selected_paths(&self, links: &LinkSelector, rng: &mut Pcg32) -> Vec<Path<'_>> {
+    fn selected_paths(&self, links: &LinkSet, rng: &mut Pcg32) -> Vec<Path<'_>> {
         let proxies = self.proxies(&links.proxies, rng);
         if let Some(others) = &links.peers {
             let Some(peers) = &self.peers else { return Vec::new() };
--- a/testbed/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -373,7 +373,7 @@
 /// Selects the links that a fault affects: those that match all given fields, or all.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct LinkSelector {
+pub struct LinkSet {
     /// Client proxies at one end.
     pub proxies: Selector,
     /// Order servers at the other end.
@@ -485,7 +485,7 @@
     Cut {
         /// Affected links.
         #[serde(default)]
-        links: LinkSelector,
+        links: LinkSet,
         /// Duration of the fault.
         #[serde(with = "humantime_serde")]
         lasts: Duration,
@@ -494,7 +494,7 @@
     Delay {
         /// Affected links.
         #[serde(default)]
-        links: LinkSelector,
+        links: LinkSet,
         /// Added latency in each affected direction.
         #[serde(with = "humantime_serde")]
         by: Duration,
@@ -506,7 +506,7 @@
     Loss {
         /// Affected links.
         #[serde(default)]
-        links: LinkSelector,
+        links: LinkSet,
         /// Share of the packets that are dropped.
         part: f64,
         /// Duration of the fault.
@@ -516,7 +516,7 @@
     /// Some of the datagrams are delivered twice.
     Duplicate {
         /// Affected links; needs `peers`.
-        links: LinkSelector,
+        links: LinkSet,
         /// Share of the datagrams that are affected.
         part: f64,
         /// Duration of the fault.
@@ -526,7 +526,7 @@
     /// Some of the datagrams are delivered after later ones.
     Reorder {
         /// Affected links; needs `peers`.
-        links: LinkSelector,
+        links: LinkSet,
         /// Share of the datagrams that are affected.
         part: f64,
         /// Maximum added delay of an affected datagram.
@@ -540,7 +540,7 @@
     Refuse {
         /// Affected links.
         #[serde(default)]
-        links: LinkSelector,
+        links: LinkSet,
         /// Duration of the fault.
         #[serde(with = "humantime_serde")]
         lasts: Duration,
@@ -549,7 +549,7 @@
     Reset {
         /// Affected links.
         #[serde(default)]
-        links: LinkSelector,
+        links: LinkSet,
     },
     /// Discovery refuses connections.
     DiscoveryDown {
@@ -890,9 +890,7 @@
             | Fault::Lose { servers, .. }
             | Fault::Drain { servers } => vec![("servers", servers, false)],
             _ => {
-                let Some(LinkSelector { proxies, servers, peers, .. }) = self.links() else {
-                    return Vec::new();
-                };
+                let Some(LinkSet { proxies, servers, peers, .. }) = self.links() else { return Vec::new() };
                 let other_end = match peers {
                     Some(peers) => ("links.peers", peers, true),
                     None => ("links.servers", servers, false),
@@ -903,7 +901,7 @@
     }
 
     /// The selected links, if the fault affects links.
-    fn links(&self) -> Option<&LinkSelector> {
+    fn links(&self) -> Option<&LinkSet> {
         match self {
             Fault::Cut { links, .. }
             | Fault::Delay { links, .. }
