--- a/client-proxy/tests/reload.rs
+++ b/client-proxy/tests/reload.rs
@@ -123,7 +123,8 @@
         // A poll that does not wait, or in mode `subscribe` the next watch.
         let wait = if mode == "subscribe" { 100 } else { 0 };
         assert_eq!(poll, format!("/v1/endpoints?after=41&wait_ms={wait}"), "{mode}");
-        assert_served_by(&mut client, "new");
+        // A client of its own: one that has been idle for 2.2 s is disconnected.
+        assert_served_by(&mut proxy.client(), "new");
         // No poll stays open at the old discovery address, nor at those in between.
         assert!(matches!(watch.read(&mut [0]), Ok(0)), "{mode}: a poll stays open");
         for server in &between {
