--- a/balancer/tests/common/fleet.rs
+++ b/balancer/tests/common/fleet.rs
@@ -131,7 +131,7 @@
     /// Sends the full endpoint list to every balancer.
     pub fn update_endpoints(&mut self, endpoint_list: Vec<EndpointEntry>) {
         self.balancers.iter_mut().for_each(|balancer| {
-            drop(balancer.update_endpoints(EndpointUpdate::FullSnapshot(endpoint_list.clone())))
+            drop(balancer.update_endpoints(EndpointUpdate::FullSnapshot(endpoint_list.clone())));
         });
         self.endpoint_list = endpoint_list;
     }
--- a/balancer/tests/ordinary_path.rs
+++ b/balancer/tests/ordinary_path.rs
@@ -230,7 +230,7 @@
         for id in pair {
             match harness.endpoint_of(id, 0) {
                 endpoint if fails(&mut sent_to_failing, endpoint) => {
-                    drop(harness.finish_attempt(id, 0, Outcome::Error))
+                    drop(harness.finish_attempt(id, 0, Outcome::Error));
                 }
                 endpoint => pending.push((if endpoint == EndpointId(1) { 21.5 } else { 20.0 }, id)),
             }
--- a/simulator-adapter/src/link.rs
+++ b/simulator-adapter/src/link.rs
@@ -153,7 +153,10 @@
                         self.instances.insert(proxy, instance);
                     }
                     Err(error) => {
-                        write_message(reply, &Outgoing::BalancerFailed { proxy, message: &error.to_string() })
+                        write_message(
+                            reply,
+                            &Outgoing::BalancerFailed { proxy, message: &error.to_string() },
+                        );
                     }
                 }
             }
@@ -327,10 +330,10 @@
             write_message(reply, &Outgoing::SetTimer { proxy, at: *at, token: *token });
         }
         Action::Probe { endpoint } => {
-            write_message(reply, &Outgoing::ProbeEndpoint { proxy, endpoint: endpoint.0 })
+            write_message(reply, &Outgoing::ProbeEndpoint { proxy, endpoint: endpoint.0 });
         }
         Action::CloseIdleConnections { endpoint } => {
-            write_message(reply, &Outgoing::CloseIdleConnections { proxy, endpoint: endpoint.0 })
+            write_message(reply, &Outgoing::CloseIdleConnections { proxy, endpoint: endpoint.0 });
         }
         Action::SendToPeer { to, content } => {
             let to = to.map_or(Recipient::All("all"), Recipient::One);
