--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::link::{Door, Link};
+use crate::link::{Link, LinkListener};
 use crate::scenario::{DiscoverySettings, Lie};
 use crate::servers::{Play, Server};
 use crate::station::Seconds;
@@ -202,11 +202,11 @@
     /// # Errors
     /// As the system says.
     pub fn open(self: &Rc<Self>, proxy: usize, link: Rc<Link>) -> io::Result<SocketAddr> {
-        let mut door = Door::open(link)?;
-        let (address, discovery) = (door.address(), Rc::clone(self));
+        let mut listener = LinkListener::open(link)?;
+        let (address, discovery) = (listener.address(), Rc::clone(self));
         spawn_local(async move {
             loop {
-                let Ok(stream) = door.accept().await else {
+                let Ok(stream) = listener.accept().await else {
                     sleep(ACCEPT_PAUSE).await;
                     continue;
                 };
--- a/testbed/src/link.rs
+++ b/testbed/src/link.rs
@@ -1,5 +1,6 @@
-//! The way between two parties, each direction by itself: what it takes, and whether anything comes through. A
-//! [`Piped`] stream is a socket behind such a link; a [`Door`] is an address at which a link's connections come in.
+//! Simulated network links. Delay, loss and partitions are set for each direction of a link. A [`LinkStream`]
+//! is an accepted connection to which these faults are applied; a [`LinkListener`] accepts the connections of
+//! one link.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -19,192 +20,209 @@
 
 use crate::chance::uniform;
 
-/// How much later a piece comes that was lost once. As TCP has it on a short way.
+/// Extra delay of a chunk for each time that it is lost: TCP's minimum retransmission timeout on a short
+/// path.
 const RETRANSMISSION: Duration = Duration::from_millis(200);
-/// A link that loses more than this is cut, and is to be told so.
-const LOSS_MOST: f64 = 0.9;
-/// What is under way in one direction of a connection at most.
-const UNDER_WAY: usize = 256 * 1024;
-/// What is read or written at once.
-const PIECE: usize = 16 * 1024;
-/// How many connections wait to be accepted: while a link is open, and while it is cut.
-const QUEUE: i32 = 1024;
-const NO_QUEUE: i32 = 0;
-/// Fill what is left of the queue of a cut link: the system holds one connection more than it is told.
-const FILLERS: usize = 2;
+/// Upper limit of the loss probability, since each chunk is resent until it arrives. A scenario that wants
+/// more loss has to cut the link.
+const MAX_LOSS: f64 = 0.9;
+/// Maximum number of bytes in flight in one direction of a connection.
+const MAX_IN_FLIGHT_BYTES: usize = 256 * 1024;
+/// Maximum number of bytes per read or write.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
+/// Listen backlog while the link is open.
+const BACKLOG: i32 = 1024;
+/// Listen backlog while the link is cut.
+const CUT_BACKLOG: i32 = 0;
+/// Connections that occupy the backlog of a cut link, so that new ones stay unanswered: the kernel queues one
+/// connection more than the backlog says.
+const BACKLOG_FILLERS: usize = 2;
 
 /// One direction of a link.
 #[derive(Default)]
-pub struct Way {
+pub struct LinkDirection {
     cut: Cell<bool>,
     delay: Cell<Duration>,
-    /// On top of it, for as long as something is wrong.
-    more: Cell<Duration>,
-    /// The part of the pieces that are lost on the way, and come later.
+    /// Added to `delay` while a fault is active.
+    extra_delay: Cell<Duration>,
+    /// Share of the chunks that are lost and arrive only after a retransmission.
     loss: Cell<f64>,
 }
 
-impl Way {
-    fn takes(&self) -> Duration {
-        self.delay.get() + self.more.get()
+impl LinkDirection {
+    fn total_delay(&self) -> Duration {
+        self.delay.get() + self.extra_delay.get()
     }
 }
 
 /// The link between two parties.
 pub struct Link {
-    /// From the one that connects.
-    pub out: Way,
-    /// Back to it.
-    pub back: Way,
-    /// Grows with each reset of all connections.
+    /// From the connecting side to the accepting side.
+    pub forward: LinkDirection,
+    /// From the accepting side to the connecting side.
+    pub reverse: LinkDirection,
+    /// Number of resets so far; a connection that was made before the last one is reset.
     resets: Cell<u64>,
-    /// Nobody listens at the other end.
+    /// New connections are refused, as if nothing listened on the port.
     refused: Cell<bool>,
     rng: RefCell<Pcg32>,
-    waiting: RefCell<Vec<Waker>>,
+    wakers: RefCell<Vec<Waker>>,
     changed: Notify,
 }
 
 impl Link {
-    /// A link over which all comes through at once. What it loses later is drawn from `rng`.
+    /// Creates a link without delay or faults. Losses that are set later are drawn from `rng`.
     pub fn new(rng: Pcg32) -> Rc<Link> {
-        let (out, back, resets, refused) = Default::default();
-        let (waiting, changed) = Default::default();
-        Rc::new(Link { out, back, resets, refused, rng: RefCell::new(rng), waiting, changed })
+        let (forward, reverse, resets, refused) = Default::default();
+        let (wakers, changed) = Default::default();
+        Rc::new(Link { forward, reverse, resets, refused, rng: RefCell::new(rng), wakers, changed })
     }
 
-    /// On these ways a byte takes so much more than it does when nothing is wrong.
-    pub fn slow(&self, out: Duration, back: Duration) {
-        self.out.more.set(out);
-        self.back.more.set(back);
-        self.tell();
+    /// Sets the delay that a fault adds to the normal delay of each direction.
+    pub fn slow(&self, forward: Duration, reverse: Duration) {
+        self.forward.extra_delay.set(forward);
+        self.reverse.extra_delay.set(reverse);
+        self.wake_all();
     }
 
-    /// This part of the pieces is lost, and comes a retransmission later; all behind it waits for it.
-    pub fn lose(&self, out: f64, back: f64) {
-        self.out.loss.set(out);
-        self.back.loss.set(back);
+    /// Sets the share of chunks that are lost in each direction. A lost chunk arrives one or more
+    /// retransmissions later, and all chunks behind it wait for it.
+    pub fn lose(&self, forward: f64, reverse: f64) {
+        self.forward.loss.set(forward);
+        self.reverse.loss.set(reverse);
     }
 
-    /// New connections are refused from now on, or no more.
+    /// Sets whether new connections are refused.
     pub fn refuse(&self, refused: bool) {
         self.refused.set(refused);
-        self.tell();
+        self.wake_all();
     }
 
-    /// What a byte, or a connection, takes from now on.
-    pub fn delay(&self, out: Duration, back: Duration) {
-        self.out.delay.set(out);
-        self.back.delay.set(back);
-        self.tell();
+    /// Sets the normal delay of each direction, for data and for new connections.
+    pub fn delay(&self, forward: Duration, reverse: Duration) {
+        self.forward.delay.set(forward);
+        self.reverse.delay.set(reverse);
+        self.wake_all();
     }
 
-    /// What a byte takes at present, there and back.
+    /// The current delays of the forward and of the reverse direction, faults included.
     pub fn delays(&self) -> (Duration, Duration) {
-        (self.out.takes(), self.back.takes())
+        (self.forward.total_delay(), self.reverse.total_delay())
     }
 
-    /// Lets nothing through any more, or everything that has come meanwhile and comes from now on.
-    pub fn cut(&self, out: bool, back: bool) {
-        self.out.cut.set(out);
-        self.back.cut.set(back);
-        self.tell();
+    /// Cuts or restores each direction. Data sent while a direction is cut arrives once it is restored.
+    pub fn cut(&self, forward: bool, reverse: bool) {
+        self.forward.cut.set(forward);
+        self.reverse.cut.set(reverse);
+        self.wake_all();
     }
 
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.resets.set(self.resets.get() + 1);
-        self.tell();
+        self.wake_all();
     }
 
-    fn tell(&self) {
-        self.waiting.take().into_iter().for_each(Waker::wake);
+    fn wake_all(&self) {
+        self.wakers.take().into_iter().for_each(Waker::wake);
         self.changed.notify_waiters();
     }
 
-    fn wait(&self, cx: &Context<'_>) {
-        let mut waiting = self.waiting.borrow_mut();
-        if !waiting.iter().any(|waker| waker.will_wake(cx.waker())) {
-            waiting.push(cx.waker().clone());
+    fn register(&self, cx: &Context<'_>) {
+        let mut wakers = self.wakers.borrow_mut();
+        if !wakers.iter().any(|waker| waker.will_wake(cx.waker())) {
+            wakers.push(cx.waker().clone());
         }
     }
 }
 
-/// What is under way in one direction of a connection.
-struct Queue {
-    pieces: VecDeque<(Instant, Vec<u8>)>,
+/// The chunks in flight in one direction of a connection.
+struct InFlight {
+    /// Arrival time and content of each chunk.
+    chunks: VecDeque<(Instant, Vec<u8>)>,
     bytes: usize,
-    /// Nothing sets out before.
-    since: Instant,
-    alarm: Pin<Box<Sleep>>,
+    /// When the connection is established over the link; no chunk is sent earlier.
+    established: Instant,
+    timer: Pin<Box<Sleep>>,
 }
 
-impl Queue {
-    fn new(since: Instant) -> Queue {
-        Queue { pieces: VecDeque::new(), bytes: 0, since, alarm: Box::pin(sleep_until(since)) }
+impl InFlight {
+    fn new(established: Instant) -> InFlight {
+        InFlight { chunks: VecDeque::new(), bytes: 0, established, timer: Box::pin(sleep_until(established)) }
     }
 
-    fn push(&mut self, link: &Link, way: &Way, bytes: Vec<u8>) {
+    fn push(&mut self, link: &Link, direction: &LinkDirection, bytes: Vec<u8>) {
         self.bytes += bytes.len();
-        let mut due = self.since.max(Instant::now()) + way.takes();
-        while way.loss.get() > 0.0 && uniform(&mut link.rng.borrow_mut()) < way.loss.get().min(LOSS_MOST) {
+        let mut due = self.established.max(Instant::now()) + direction.total_delay();
+        while direction.loss.get() > 0.0
+            && uniform(&mut link.rng.borrow_mut()) < direction.loss.get().min(MAX_LOSS)
+        {
             due += RETRANSMISSION;
         }
-        // In order: nothing overtakes what was sent before.
-        let due = self.pieces.back().map_or(due, |(last, _)| due.max(*last));
-        self.pieces.push_back((due, bytes));
+        // A TCP stream delivers in order, so no chunk arrives before an earlier one.
+        let due = self.chunks.back().map_or(due, |(last, _)| due.max(*last));
+        self.chunks.push_back((due, bytes));
     }
 
-    /// Ready when the first piece has arrived.
-    fn poll_due(&mut self, link: &Link, way: &Way, cx: &mut Context<'_>) -> Poll<()> {
-        let Some((due, _)) = self.pieces.front() else { return Poll::Pending };
-        if way.cut.get() {
-            link.wait(cx);
+    /// Ready when the first chunk has arrived.
+    fn poll_due(&mut self, link: &Link, direction: &LinkDirection, cx: &mut Context<'_>) -> Poll<()> {
+        let Some((due, _)) = self.chunks.front() else { return Poll::Pending };
+        if direction.cut.get() {
+            link.register(cx);
             return Poll::Pending;
         }
         if *due <= Instant::now() {
             return Poll::Ready(());
         }
-        self.alarm.as_mut().reset(*due);
-        self.alarm.as_mut().poll(cx)
+        self.timer.as_mut().reset(*due);
+        self.timer.as_mut().poll(cx)
     }
 
-    /// Takes so much off the first piece.
+    /// Removes `taken` bytes from the front of the first chunk.
     fn take(&mut self, taken: usize) {
         self.bytes -= taken;
-        if let Some((_, piece)) = self.pieces.front_mut() {
-            piece.drain(..taken);
-            if piece.is_empty() {
-                self.pieces.pop_front();
+        if let Some((_, chunk)) = self.chunks.front_mut() {
+            chunk.drain(..taken);
+            if chunk.is_empty() {
+                self.chunks.pop_front();
             }
         }
     }
 }
 
-/// A connection behind a link, on the side that was connected to: what it reads came `out`, what it writes goes `back`.
-pub struct Piped {
+/// The accepting side of a connection over a link: it reads from the forward direction and writes to the
+/// reverse one.
+pub struct LinkStream {
     stream: Rc<TcpStream>,
     link: Rc<Link>,
     resets: u64,
-    coming: Queue,
-    /// The other side sends nothing more, which is known once all before it has come.
-    ended: bool,
-    going: Queue,
+    incoming: InFlight,
+    /// The peer has closed its sending side. Reported as end of file once all chunks before it were read.
+    eof: bool,
+    outgoing: InFlight,
 }
 
-impl Piped {
-    /// Takes over a connection.
-    pub fn new(stream: TcpStream, link: Rc<Link>) -> Piped {
-        // Fails only where the connection is broken already, which the first use shows.
+impl LinkStream {
+    /// Wraps an accepted connection.
+    pub fn new(stream: TcpStream, link: Rc<Link>) -> LinkStream {
+        // Fails only if the connection is already broken, which the first read or write reports.
         let _ = stream.set_nodelay(true);
         let resets = link.resets.get();
-        // The system has made the connection at once; over the link that takes there and back.
-        let made = Instant::now() + link.out.takes() + link.back.takes();
+        // The kernel completes the handshake at once; over the link it takes one round trip.
+        let established = Instant::now() + link.forward.total_delay() + link.reverse.total_delay();
         let stream = Rc::new(stream);
-        Piped { stream, link, resets, coming: Queue::new(made), ended: false, going: Queue::new(made) }
+        LinkStream {
+            stream,
+            link,
+            resets,
+            incoming: InFlight::new(established),
+            eof: false,
+            outgoing: InFlight::new(established),
+        }
     }
 
-    /// Tells whether the other side still holds the connection open, whatever the link lets through.
+    /// Returns a check whether the peer still has the connection open, independent of the link's delays and
+    /// faults.
     pub fn is_open(&self) -> impl Fn() -> bool + Clone + use<> {
         let stream = Rc::clone(&self.stream);
         move || {
@@ -216,28 +234,28 @@
         }
     }
 
-    fn check(&self) -> io::Result<()> {
+    fn check_reset(&self) -> io::Result<()> {
         if self.resets == self.link.resets.get() {
             return Ok(());
         }
-        // Closed at once, with a reset.
+        // With a linger time of zero, closing the socket sends a reset.
         let _ = SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO));
         Err(io::ErrorKind::ConnectionReset.into())
     }
 
-    /// Takes in what has come to the socket.
+    /// Reads what the socket has received into the queue of incoming chunks.
     fn fill(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
-        while !self.ended && self.coming.bytes < UNDER_WAY {
+        while !self.eof && self.incoming.bytes < MAX_IN_FLIGHT_BYTES {
             match self.stream.poll_read_ready(cx) {
                 Poll::Pending => return Ok(()),
                 Poll::Ready(ready) => ready?,
             }
-            let mut piece = vec![0; PIECE];
-            match self.stream.try_read(&mut piece) {
-                Ok(0) => self.ended = true,
+            let mut chunk = vec![0; MAX_CHUNK_BYTES];
+            match self.stream.try_read(&mut chunk) {
+                Ok(0) => self.eof = true,
                 Ok(read) => {
-                    piece.truncate(read);
-                    self.coming.push(&self.link, &self.link.out, piece);
+                    chunk.truncate(read);
+                    self.incoming.push(&self.link, &self.link.forward, chunk);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(error),
@@ -247,53 +265,57 @@
     }
 }
 
-impl AsyncRead for Piped {
+impl AsyncRead for LinkStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        this.check()?;
-        this.link.wait(cx);
+        this.check_reset()?;
+        this.link.register(cx);
         this.fill(cx)?;
-        if this.coming.pieces.is_empty() {
-            // A close is not heard over a link that is cut.
-            return if this.ended && !this.link.out.cut.get() { Poll::Ready(Ok(())) } else { Poll::Pending };
+        if this.incoming.chunks.is_empty() {
+            // A close by the peer doesn't get through a direction that is cut.
+            return if this.eof && !this.link.forward.cut.get() {
+                Poll::Ready(Ok(()))
+            } else {
+                Poll::Pending
+            };
         }
-        if this.coming.poll_due(&this.link, &this.link.out, cx).is_pending() {
+        if this.incoming.poll_due(&this.link, &this.link.forward, cx).is_pending() {
             return Poll::Pending;
         }
-        let piece = this.coming.pieces.front().map_or(&[][..], |(_, piece)| piece);
-        let taken = piece.len().min(buf.remaining());
-        buf.put_slice(&piece[..taken]);
-        this.coming.take(taken);
+        let chunk = this.incoming.chunks.front().map_or(&[][..], |(_, chunk)| chunk);
+        let taken = chunk.len().min(buf.remaining());
+        buf.put_slice(&chunk[..taken]);
+        this.incoming.take(taken);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Piped {
+impl AsyncWrite for LinkStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let this = &mut *self;
-        this.check()?;
-        if this.going.bytes >= UNDER_WAY && Pin::new(&mut *this).poll_flush(cx)?.is_pending() {
+        this.check_reset()?;
+        if this.outgoing.bytes >= MAX_IN_FLIGHT_BYTES && Pin::new(&mut *this).poll_flush(cx)?.is_pending() {
             return Poll::Pending;
         }
-        let taken = buf.len().min(PIECE);
-        this.going.push(&this.link, &this.link.back, buf[..taken].to_vec());
+        let taken = buf.len().min(MAX_CHUNK_BYTES);
+        this.outgoing.push(&this.link, &this.link.reverse, buf[..taken].to_vec());
         Poll::Ready(Ok(taken))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        this.check()?;
-        this.link.wait(cx);
-        while !this.going.pieces.is_empty() {
-            std::task::ready!(this.going.poll_due(&this.link, &this.link.back, cx));
+        this.check_reset()?;
+        this.link.register(cx);
+        while !this.outgoing.chunks.is_empty() {
+            std::task::ready!(this.outgoing.poll_due(&this.link, &this.link.reverse, cx));
             std::task::ready!(this.stream.poll_write_ready(cx))?;
-            let piece = this.going.pieces.front().map_or(&[][..], |(_, piece)| piece);
-            match this.stream.try_write(piece) {
-                Ok(written) => this.going.take(written),
+            let chunk = this.outgoing.chunks.front().map_or(&[][..], |(_, chunk)| chunk);
+            match this.stream.try_write(chunk) {
+                Ok(written) => this.outgoing.take(written),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Poll::Ready(Err(error)),
             }
@@ -304,63 +326,64 @@
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         std::task::ready!(self.as_mut().poll_flush(cx))?;
         let closed = SockRef::from(&*self.stream).shutdown(std::net::Shutdown::Write);
-        // One that the other side has closed needs no closing.
+        // A connection that the peer has already closed needs no shutdown.
         Poll::Ready(closed.or_else(|e| if e.kind() == io::ErrorKind::NotConnected { Ok(()) } else { Err(e) }))
     }
 }
 
-/// An address of its own for one link.
-pub struct Door {
-    /// Nothing while connections are refused ...
+/// A listener on an address that belongs to one link.
+pub struct LinkListener {
+    /// `None` while connections are refused.
     listener: Option<TcpListener>,
-    /// ... and meanwhile what keeps the address from being given to another play.
-    held: Option<TcpSocket>,
+    /// A bound socket that doesn't listen: while connections are refused, it keeps the kernel from giving the
+    /// port to another run.
+    reserved: Option<TcpSocket>,
     address: SocketAddr,
     link: Rc<Link>,
     fillers: Vec<StdStream>,
 }
 
-impl Door {
-    /// Listens on a port that the system chooses.
+impl LinkListener {
+    /// Listens on a port that the kernel chooses.
     ///
     /// # Errors
-    /// As the system says.
-    pub fn open(link: Rc<Link>) -> io::Result<Door> {
+    /// If no socket can be created or bound.
+    pub fn open(link: Rc<Link>) -> io::Result<LinkListener> {
         let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
-        Ok(Door { listener: Some(listener), held: None, address, link, fillers: Vec::new() })
+        Ok(LinkListener { listener: Some(listener), reserved: None, address, link, fillers: Vec::new() })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The next connection. While the link is cut, either way, none comes up.
-    pub async fn accept(&mut self) -> io::Result<Piped> {
+    /// Accepts the next connection. While either direction of the link is cut, none is established.
+    pub async fn accept(&mut self) -> io::Result<LinkStream> {
         loop {
             let link = Rc::clone(&self.link);
             let changed = link.changed.notified();
             if self.link.refused.get() {
                 if self.listener.take().is_some() {
-                    self.held = Some(hold(self.address)?);
+                    self.reserved = Some(bind(self.address)?);
                 }
                 changed.await;
                 continue;
             }
             let listener = match self.listener.take() {
                 Some(listener) => listener,
-                None => match self.held.take() {
-                    Some(held) => held.listen(QUEUE as u32)?,
+                None => match self.reserved.take() {
+                    Some(reserved) => reserved.listen(BACKLOG as u32)?,
                     None => listen(self.address)?,
                 },
             };
             let listener = self.listener.insert(listener);
-            let closed = self.link.out.cut.get() || self.link.back.cut.get();
-            if closed == self.fillers.is_empty() {
-                shut(listener, self.address, &mut self.fillers, closed)?;
+            let cut = self.link.forward.cut.get() || self.link.reverse.cut.get();
+            if cut == self.fillers.is_empty() {
+                set_backlog_full(listener, self.address, &mut self.fillers, cut)?;
             }
-            if closed {
+            if cut {
                 changed.await;
                 continue;
             }
@@ -368,8 +391,9 @@
                 biased;
                 _ = changed => {}
                 accepted = listener.accept() => {
-                    // One that filled the queue is closed by now, and ends at its first use.
-                    return Ok(Piped::new(accepted?.0, Rc::clone(&self.link)));
+                    // May be one of the connections that filled the backlog of a cut link: it is closed by
+                    // now, and the first read ends it.
+                    return Ok(LinkStream::new(accepted?.0, Rc::clone(&self.link)));
                 }
             }
         }
@@ -377,34 +401,34 @@
 }
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    hold(address)?.listen(QUEUE as u32)
+    bind(address)?.listen(BACKLOG as u32)
 }
 
-/// Has an address, at which connections are refused.
-fn hold(address: SocketAddr) -> io::Result<TcpSocket> {
+/// Binds a socket to `address` without listening, so that connections to it are refused.
+fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
-    // For an address that was closed a moment ago.
+    // The address may have been closed a moment ago.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     Ok(socket)
 }
 
-/// Fills the queue of connections, or opens it again.
-fn shut(
+/// Fills the listener's backlog so that new connections stay unanswered, or opens it again.
+fn set_backlog_full(
     listener: &TcpListener,
     address: SocketAddr,
     fillers: &mut Vec<StdStream>,
-    shut: bool,
+    full: bool,
 ) -> io::Result<()> {
-    SockRef::from(listener).listen(if shut { NO_QUEUE } else { QUEUE })?;
-    if !shut {
+    SockRef::from(listener).listen(if full { CUT_BACKLOG } else { BACKLOG })?;
+    if !full {
         fillers.clear();
         return Ok(());
     }
-    for _ in 0..FILLERS {
+    for _ in 0..BACKLOG_FILLERS {
         let filler = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         filler.set_nonblocking(true)?;
-        // Under way is enough: it takes the place as soon as there is one.
+        // A pending connect is enough: it takes a slot in the backlog as soon as one is free.
         let _ = filler.connect(&address.into());
         fillers.push(filler.into());
     }
--- a/testbed/src/servers.rs
+++ b/testbed/src/servers.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::ledger::{Ledger, Rule, Txn};
-use crate::link::{Door, Link, Piped};
+use crate::link::{Link, LinkListener, LinkStream};
 use crate::scenario::Contract;
 use crate::station::{Offer, Seconds, Shape, Station};
 
@@ -232,11 +232,11 @@
     /// # Errors
     /// As the system says.
     pub fn open(self: &Rc<Self>, proxy: usize, crosses: bool, link: Rc<Link>) -> io::Result<SocketAddr> {
-        let mut door = Door::open(Rc::clone(&link))?;
-        let (address, server) = (door.address(), Rc::clone(self));
+        let mut listener = LinkListener::open(Rc::clone(&link))?;
+        let (address, server) = (listener.address(), Rc::clone(self));
         spawn_local(async move {
             loop {
-                match door.accept().await {
+                match listener.accept().await {
                     Ok(stream) => {
                         let link = Rc::clone(&link);
                         spawn_local(Rc::clone(&server).connection(stream, proxy, crosses, link));
@@ -248,7 +248,7 @@
         Ok(address)
     }
 
-    async fn connection(self: Rc<Self>, stream: Piped, proxy: usize, crosses: bool, link: Rc<Link>) {
+    async fn connection(self: Rc<Self>, stream: LinkStream, proxy: usize, crosses: bool, link: Rc<Link>) {
         let full = self.connections.get() >= self.traits.connections;
         self.connections.set(self.connections.get() + 1);
         let is_open = stream.is_open();
