--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -18,7 +18,7 @@
 use crate::chance::{exponential, stream, uniform};
 use crate::ledger::{self, Ending, Rule, Txn};
 use crate::scenario::{Class, Load, Scenario, Scope, Semantics};
-use crate::servers::{Play, body_of};
+use crate::servers::{RunContext, body_of};
 use crate::station::Seconds;
 
 /// Work has at least this part of its mean; the rest is drawn from an exponential distribution.
@@ -125,7 +125,7 @@
 
 /// All clients.
 pub struct Clients {
-    play: Play,
+    run: RunContext,
     classes: Vec<Class>,
     load: Load,
     lost_after: Seconds,
@@ -151,16 +151,16 @@
 
 impl Clients {
     /// Of these client proxies.
-    pub fn new(play: Play, scenario: &Scenario, proxies: Vec<Rc<Beside>>) -> Rc<Clients> {
+    pub fn new(run: RunContext, scenario: &Scenario, proxies: Vec<Rc<Beside>>) -> Rc<Clients> {
         let (classes, load) = (scenario.class.clone(), scenario.load.clone());
         let lost_after = scenario.contract.lost_after.as_secs_f64();
-        Rc::new(Clients { play, classes, load, lost_after, proxies })
+        Rc::new(Clients { run, classes, load, lost_after, proxies })
     }
 
     /// Sends what is to come, each at its time.
     pub async fn send(self: Rc<Self>, arrivals: Vec<Arrival>) {
         for arrival in arrivals {
-            sleep_until(self.play.instant(arrival.at)).await;
+            sleep_until(self.run.instant(arrival.at)).await;
             spawn_local(Rc::clone(&self).want(arrival));
         }
     }
@@ -183,8 +183,8 @@
             };
             first.get_or_insert(txn);
             let (ending, advice) = self.attempt(txn, class, arrival.proxy, meant, &wait).await;
-            let now = self.play.now();
-            self.play.ledger.borrow_mut().end_request(txn, ending, now);
+            let now = self.run.now();
+            self.run.ledger.borrow_mut().end_request(txn, ending, now);
             let keep_away = match (ending, advice.filter(|_| arrival.honours)) {
                 (Ending::Rejected, Some(advice)) => advice.as_secs_f64(),
                 (Ending::Rejected, None) => backoff,
@@ -200,7 +200,7 @@
     }
 
     fn enter(&self, arrival: &Arrival, class: &Class, first: Option<Txn>, meant: Seconds) -> Txn {
-        let late = self.play.now() - meant;
+        let late = self.run.now() - meant;
         let Arrival { class: number, proxy, work, .. } = *arrival;
         let request = ledger::Request {
             class: number,
@@ -214,7 +214,7 @@
             priority_weight: class.priority_weight,
             latency_objective: class.latency_objective.as_secs_f64(),
         };
-        self.play.ledger.borrow_mut().add_request(request, first, late)
+        self.run.ledger.borrow_mut().add_request(request, first, late)
     }
 
     /// One try: how it ended, and how long the client ought to keep away.
@@ -229,9 +229,9 @@
         let beside = &self.proxies[proxy];
         let lost = wait.until + self.lost_after;
         // What waits for the answer is dropped, and its connection with it.
-        let gone = self.play.instant(wait.leaves.unwrap_or(lost));
+        let gone = self.run.instant(wait.leaves.unwrap_or(lost));
         let came = timeout_at(gone, self.exchange(txn, class, beside, wait)).await;
-        let now = self.play.now();
+        let now = self.run.now();
         let (ending, how) = match came {
             Ok(Came::Answer(StatusCode::OK, _, Some(body))) if body == body_of(txn) => (Ending::Served, None),
             Ok(Came::Answer(StatusCode::OK, _, Some(_))) => {
@@ -253,7 +253,7 @@
         }
         if let Some(how) = how {
             let how = format!("{txn:?} of client proxy {proxy}, meant at {meant:.3} s, {how}");
-            self.play.ledger.borrow_mut().record_violation(Rule::Lost, now, &how);
+            self.run.ledger.borrow_mut().record_violation(Rule::Lost, now, &how);
         }
         let late = ending == Ending::Served && now > wait.until;
         (if late { Ending::TimedOut } else { ending }, None)
@@ -262,7 +262,7 @@
     async fn exchange(&self, txn: Txn, class: &Class, beside: &Beside, wait: &Wait) -> Came {
         match self.once(txn, class, beside, wait).await {
             // A close that crossed a request which was not read: it is sent once more, on a new connection.
-            Came::Closed(true) if !self.play.ledger.borrow().has_attempts(txn) => {
+            Came::Closed(true) if !self.run.ledger.borrow().has_attempts(txn) => {
                 beside.idle.borrow_mut().clear();
                 self.once(txn, class, beside, wait).await
             }
@@ -293,7 +293,7 @@
                 sender
             }
         };
-        let request = self.request(txn, class, wait.until - self.play.now(), wait.resent);
+        let request = self.request(txn, class, wait.until - self.run.now(), wait.resent);
         let Ok(response) = sender.send_request(request).await else { return Came::Closed(used) };
         let (head, body) = response.into_parts();
         let advice = head.headers.get("retry-after").and_then(|advice| advice.to_str().ok()?.parse().ok());
@@ -324,7 +324,7 @@
         if class.semantics != Semantics::Safe {
             *request.method_mut() = Method::POST;
         }
-        let first = self.play.ledger.borrow().request(txn).map(|request| request.first_try);
+        let first = self.run.ledger.borrow().request(txn).map(|request| request.first_try);
         let key = first.filter(|_| class.semantics == Semantics::Keyed);
         if let Some(Ok(key)) = key.map(|first| format!("key{:016x}", first.0).try_into()) {
             request.headers_mut().insert("idempotency-key", key);
--- a/testbed/src/datagrams.rs
+++ b/testbed/src/datagrams.rs
@@ -1,8 +1,9 @@
-//! The ways between client proxies: datagrams, each direction of each pair by itself.
+//! Simulated UDP network between client proxies, with delay, loss, duplication and reordering for each
+//! direction of each pair.
 //!
-//! Each client proxy binds an address of its own and is known to the others under another one, at which the testbed
-//! listens. Whoever sends there is known by its own address, so one socket for each client proxy is enough to tell all
-//! pairs apart; what comes through leaves by the socket under which the others know its sender.
+//! Each client proxy binds its own address and advertises another one, on which the testbed listens. The
+//! source address of a datagram identifies its sender, so one testbed socket per client proxy is enough to
+//! distinguish all pairs. A datagram is forwarded from the advertised address of its sender.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,137 +18,142 @@
 
 use crate::chance::{stream, uniform};
 
-/// The longest datagram that there is.
-const LONGEST: usize = 65_536;
+/// Size of the receive buffer in bytes: no UDP datagram is longer.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// One direction between two client proxies.
+/// One direction between two client proxies, with its faults.
 #[derive(Default)]
 pub struct Lane {
     cut: Cell<bool>,
-    takes: Cell<Duration>,
-    /// On top of it, for as long as something is wrong.
-    more: Cell<Duration>,
-    /// Parts of the datagrams: that never come, that come twice, and that come late by `late`.
+    delay: Cell<Duration>,
+    /// Added to `delay` while a fault is active.
+    extra_delay: Cell<Duration>,
+    /// Shares of the datagrams that are lost, that are duplicated, and that are delayed by up to `max_late`.
     loss: Cell<f64>,
-    twice: Cell<f64>,
-    out_of_order: Cell<f64>,
-    late: Cell<Duration>,
+    duplicated: Cell<f64>,
+    reordered_share: Cell<f64>,
+    max_late: Cell<Duration>,
 }
 
 impl Lane {
-    /// Nothing comes through any more, or all that is sent from now on.
+    /// Cuts or restores this direction. Datagrams sent while it is cut are lost.
     pub fn cut(&self, cut: bool) {
         self.cut.set(cut);
     }
 
-    /// A datagram takes so much more than it does when nothing is wrong.
-    pub fn slow(&self, more: Duration) {
-        self.more.set(more);
+    /// Sets the delay that a fault adds to the normal delay.
+    pub fn slow(&self, extra_delay: Duration) {
+        self.extra_delay.set(extra_delay);
     }
 
-    /// This part is lost.
-    pub fn lose(&self, part: f64) {
-        self.loss.set(part);
+    /// Sets the share of datagrams that are lost.
+    pub fn lose(&self, share: f64) {
+        self.loss.set(share);
     }
 
-    /// This part comes twice.
-    pub fn double(&self, part: f64) {
-        self.twice.set(part);
+    /// Sets the share of datagrams that are duplicated.
+    pub fn double(&self, share: f64) {
+        self.duplicated.set(share);
     }
 
-    /// This part comes later than it should by up to `late`, behind what was sent after it.
-    pub fn reorder(&self, part: f64, late: Duration) {
-        self.out_of_order.set(part);
-        self.late.set(late);
+    /// Sets the share of datagrams that are delayed by up to `max_late`, so that later ones overtake them.
+    pub fn reorder(&self, share: f64, max_late: Duration) {
+        self.reordered_share.set(share);
+        self.max_late.set(max_late);
     }
 
-    /// When the copies of a datagram that is sent now arrive, counted from now; none where it is lost. All draws are made
-    /// in any case, so that one fault does not move another.
+    /// Delays after which the copies of a datagram that is sent now arrive; empty if it is lost. Always draws
+    /// the same number of random values, so that one fault doesn't change the outcome of another.
     fn arrivals(&self, rng: &mut Pcg32) -> impl Iterator<Item = Duration> + use<> {
-        let [lost, twice, reordered, by, by_too] = std::array::from_fn(|_| uniform(rng));
+        let [lost, duplicated, reordered, late_share, second_late_share] =
+            std::array::from_fn(|_| uniform(rng));
         let copies = if self.cut.get() || lost < self.loss.get() {
             0
         } else {
-            1 + usize::from(twice < self.twice.get())
+            1 + usize::from(duplicated < self.duplicated.get())
         };
-        let way = self.takes.get() + self.more.get();
-        let late = if reordered < self.out_of_order.get() { self.late.get() } else { Duration::ZERO };
-        [by, by_too].into_iter().take(copies).map(move |by| way + late.mul_f64(by))
+        let normal = self.delay.get() + self.extra_delay.get();
+        let late = if reordered < self.reordered_share.get() { self.max_late.get() } else { Duration::ZERO };
+        [late_share, second_late_share]
+            .into_iter()
+            .take(copies)
+            .map(move |late_share| normal + late.mul_f64(late_share))
     }
 }
 
-/// All ways between client proxies.
+/// The simulated network between all client proxies.
 pub struct Datagrams {
-    /// Where the others find each client proxy.
+    /// The socket at the advertised address of each client proxy.
     sockets: Vec<Rc<UdpSocket>>,
-    /// Where it really is.
-    behind: Vec<SocketAddr>,
-    /// By sender and receiver.
+    /// The address that each client proxy has bound.
+    bound: Vec<SocketAddr>,
+    /// Indexed by sender and receiver.
     lanes: Vec<Vec<Lane>>,
     rng: RefCell<Pcg32>,
-    /// Bytes that each client proxy sent to others.
-    sent: Vec<Cell<u64>>,
+    /// Number of bytes that each client proxy has sent to others.
+    sent_bytes: Vec<Cell<u64>>,
 }
 
 impl Datagrams {
-    /// Between client proxies that bind these addresses, with what the way from one to another takes.
+    /// Connects client proxies that bind the addresses `bound`; `delay` gives the delay from one to another.
     ///
     /// # Errors
-    /// As the system says.
+    /// If a socket cannot be bound.
     pub async fn open(
-        behind: Vec<SocketAddr>,
+        bound: Vec<SocketAddr>,
         seed: u64,
-        takes: impl Fn(usize, usize) -> Duration,
+        delay: impl Fn(usize, usize) -> Duration,
     ) -> io::Result<Rc<Datagrams>> {
         let mut sockets = Vec::new();
-        for _ in &behind {
+        for _ in &bound {
             sockets.push(Rc::new(UdpSocket::bind(("127.0.0.1", 0)).await?));
         }
-        let all = behind.len();
-        let lane = |from, to| Lane { takes: Cell::new(takes(from, to)), ..Lane::default() };
+        let all = bound.len();
+        let lane = |from, to| Lane { delay: Cell::new(delay(from, to)), ..Lane::default() };
         let lanes = (0..all).map(|from| (0..all).map(|to| lane(from, to)).collect()).collect();
         let rng = RefCell::new(stream(seed, "datagrams"));
-        let datagrams = Rc::new(Datagrams { sockets, behind, lanes, rng, sent: vec![Cell::new(0); all] });
+        let datagrams =
+            Rc::new(Datagrams { sockets, bound, lanes, rng, sent_bytes: vec![Cell::new(0); all] });
         for to in 0..all {
-            spawn_local(Rc::clone(&datagrams).carry(to));
+            spawn_local(Rc::clone(&datagrams).forward(to));
         }
         Ok(datagrams)
     }
 
-    /// Where the others find a client proxy.
+    /// The advertised address of a client proxy.
     ///
     /// # Errors
-    /// As the system says.
+    /// If the kernel doesn't report the socket's address.
     pub fn address(&self, proxy: usize) -> io::Result<SocketAddr> {
         self.sockets[proxy].local_addr()
     }
 
-    /// The way from one client proxy to another.
+    /// The direction from one client proxy to another.
     pub fn lane(&self, from: usize, to: usize) -> &Lane {
         &self.lanes[from][to]
     }
 
-    /// Bytes that a client proxy sent to others.
-    pub fn sent(&self, proxy: usize) -> u64 {
-        self.sent.get(proxy).map_or(0, Cell::get)
+    /// Number of bytes that a client proxy has sent to others.
+    pub fn sent_bytes(&self, proxy: usize) -> u64 {
+        self.sent_bytes.get(proxy).map_or(0, Cell::get)
     }
 
-    async fn carry(self: Rc<Self>, to: usize) {
-        let mut buffer = vec![0; LONGEST];
+    async fn forward(self: Rc<Self>, to: usize) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error is that of an earlier datagram which nobody was there to take.
+            // An error here reports (by ICMP) that an earlier datagram met a closed port.
             let Ok((length, sender)) = self.sockets[to].recv_from(&mut buffer).await else { continue };
-            let Some(from) = self.behind.iter().position(|address| *address == sender) else { continue };
-            self.sent[from].set(self.sent[from].get() + length as u64);
+            let Some(from) = self.bound.iter().position(|address| *address == sender) else { continue };
+            self.sent_bytes[from].set(self.sent_bytes[from].get() + length as u64);
             let arrivals = self.lanes[from][to].arrivals(&mut self.rng.borrow_mut());
-            for takes in arrivals {
+            for delay in arrivals {
                 let (datagrams, bytes) = (Rc::clone(&self), buffer[..length].to_vec());
                 spawn_local(async move {
-                    if !takes.is_zero() {
-                        sleep(takes).await;
+                    if !delay.is_zero() {
+                        sleep(delay).await;
                     }
-                    // What the system cannot take is lost, as datagrams are.
-                    let _ = datagrams.sockets[from].send_to(&bytes, datagrams.behind[to]).await;
+                    // A datagram that the kernel doesn't accept is lost, as on a real network.
+                    let _ = datagrams.sockets[from].send_to(&bytes, datagrams.bound[to]).await;
                 });
             }
         }
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -22,7 +22,7 @@
 
 use crate::link::{Link, LinkListener};
 use crate::scenario::{DiscoverySettings, Lie};
-use crate::servers::{Play, Server};
+use crate::servers::{RunContext, Server};
 use crate::station::Seconds;
 
 /// How often a watch looks whether a list that is told late has become due.
@@ -50,7 +50,7 @@
 
 /// See the module's page.
 pub struct Discovery {
-    play: Play,
+    run: RunContext,
     servers: Vec<Rc<Server>>,
     zones: Vec<String>,
     kinds: Vec<String>,
@@ -77,7 +77,7 @@
 impl Discovery {
     /// Knows all of these servers as running.
     pub fn new(
-        play: Play,
+        run: RunContext,
         servers: Vec<Rc<Server>>,
         zones: Vec<String>,
         kinds: Vec<String>,
@@ -87,7 +87,7 @@
         let gone = RefCell::new(vec![false; servers.len()]);
         let asked = RefCell::new(vec![None; addresses.len()]);
         let discovery = Discovery {
-            play,
+            run,
             servers,
             zones,
             kinds,
@@ -120,7 +120,7 @@
     /// Takes in what the servers are by now; a new version, if that is new.
     pub fn look(&self) {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let now = self.play.now();
+        let now = self.run.now();
         let since = |started: Seconds| {
             let ago = Duration::from_secs_f64((now - started).max(0.0));
             wall.saturating_sub(ago).as_millis() as u64
@@ -150,11 +150,11 @@
     pub async fn all_told(&self, servers: &[usize]) {
         let due = || self.sound_since.get().max(0.0) + self.shape.notification_grace.as_secs_f64();
         sleep(self.shape.notification_grace).await;
-        while self.play.now() < due() {
+        while self.run.now() < due() {
             sleep(LOOK_EVERY).await;
         }
         for &n in servers.iter().filter(|&&n| self.servers[n].is_draining()) {
-            (0..self.addresses.len()).for_each(|proxy| self.servers[n].tell(proxy));
+            (0..self.addresses.len()).for_each(|proxy| self.servers[n].notify_draining(proxy));
         }
     }
 
@@ -162,7 +162,7 @@
     fn changed(&self) {
         let sound =
             !self.down.get() && !self.silent.get() && self.lie.get().is_none() && self.stale.get() == 0.0;
-        self.sound_since.set(if sound { self.play.now() } else { f64::INFINITY });
+        self.sound_since.set(if sound { self.run.now() } else { f64::INFINITY });
         self.newest.send_modify(|_| ());
     }
 
@@ -191,7 +191,7 @@
         // A version of its own, so that those who wait hear of it; and whoever was lied to hears all of what is so.
         if let Some(Version { entries, .. }) = versions.last().cloned() {
             self.whole_until.set(versions.len());
-            versions.push(Version { at: self.play.now(), entries });
+            versions.push(Version { at: self.run.now(), entries });
         }
         drop(versions);
         self.changed();
@@ -232,7 +232,7 @@
 
     /// The version that is told at present, by its number.
     fn told(&self) -> usize {
-        let (versions, before) = (self.versions.borrow(), self.play.now() - self.stale.get());
+        let (versions, before) = (self.versions.borrow(), self.run.now() - self.stale.get());
         versions.iter().filter(|version| version.at <= before).count().max(1)
     }
 
@@ -298,9 +298,9 @@
             };
             // Who is missing in a whole list is gone, as far as its reader can know.
             if entry.draining || left_out {
-                server.tell(proxy);
+                server.notify_draining(proxy);
             } else {
-                server.untell(proxy);
+                server.notify_serving(proxy);
             }
             if left_out {
                 continue;
--- a/testbed/src/events.rs
+++ b/testbed/src/events.rs
@@ -18,7 +18,7 @@
 use crate::ledger::Rule;
 use crate::link::Link;
 use crate::scenario::{Direction, Event, Fault, Latency, LinkSet, Selector, Zone};
-use crate::servers::{Mood, Play, Server};
+use crate::servers::{ResponseMode, RunContext, Server};
 
 /// How often the condition of an event with `when_served` is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -35,7 +35,7 @@
 /// The parts of a running scenario that faults can affect.
 pub struct Environment {
     /// Clock and ledger of the run.
-    pub play: Play,
+    pub play: RunContext,
     /// The client proxy processes.
     pub proxies: Vec<Rc<Proxy>>,
     /// The clients' view of each client proxy.
@@ -207,10 +207,10 @@
                 }
             }
             Fault::Silent { servers, lasts } => {
-                self.set_response_mode(&servers, Mood::Silent, lasts, &mut rng).await
+                self.set_response_mode(&servers, ResponseMode::Silent, lasts, &mut rng).await
             }
             Fault::Error { servers, lasts } => {
-                self.set_response_mode(&servers, Mood::Error, lasts, &mut rng).await
+                self.set_response_mode(&servers, ResponseMode::Error, lasts, &mut rng).await
             }
             Fault::Slow { servers, times, lasts } => {
                 let servers = self.servers(&servers, &mut rng);
@@ -400,7 +400,7 @@
                     let accepted =
                         environment.proxies[n].by_hand(&environment.servers[m].traits.name, disabled).await;
                     if accepted {
-                        environment.servers[m].by_hand(n, disabled);
+                        environment.servers[m].set_operator_override(n, disabled);
                     } else {
                         rejected += 1;
                     }
@@ -418,12 +418,18 @@
         }
     }
 
-    async fn set_response_mode(&self, servers: &Selector, mood: Mood, lasts: Duration, rng: &mut Pcg32) {
+    async fn set_response_mode(
+        &self,
+        servers: &Selector,
+        mode: ResponseMode,
+        lasts: Duration,
+        rng: &mut Pcg32,
+    ) {
         let servers = self.servers(servers, rng);
-        self.record_fault(format!("{} servers {mood:?}", servers.len()));
-        servers.iter().for_each(|&n| self.servers[n].mood(mood));
+        self.record_fault(format!("{} servers {mode:?}", servers.len()));
+        servers.iter().for_each(|&n| self.servers[n].set_response_mode(mode));
         sleep(lasts).await;
-        servers.iter().for_each(|&n| self.servers[n].mood(Mood::Well));
+        servers.iter().for_each(|&n| self.servers[n].set_response_mode(ResponseMode::Well));
     }
 
     async fn restart(self: Rc<Self>, n: usize) {
--- a/testbed/src/run.rs
+++ b/testbed/src/run.rs
@@ -25,8 +25,8 @@
 use crate::ledger::{Figures, Ledger, Rule, Second, ServedStats};
 use crate::link::Link;
 use crate::scenario::{Expect, Scenario};
-use crate::servers::{Play, Server, Traits};
-use crate::station::Shape;
+use crate::servers::{RunContext, Server, Traits};
+use crate::station::ServerSpec;
 
 /// Time between readiness of all client proxies and the start of the load.
 const LOAD_START_DELAY: Duration = Duration::from_millis(300);
@@ -161,29 +161,29 @@
     scenario.kind.iter().map(|kind| kind.servers).sum()
 }
 
-fn servers(scenario: &Scenario, play: &Play) -> Vec<Rc<Server>> {
+fn servers(scenario: &Scenario, play: &RunContext) -> Vec<Rc<Server>> {
     let contract = &scenario.contract;
     let kinds = scenario.kind.iter().enumerate();
     let each = kinds.flat_map(|(number, kind)| (0..kind.servers).map(move |nth| (number, kind, nth)));
     let mut servers_in_zone = vec![0; scenario.zone.len()];
     let server = |(number, kind, nth): (usize, &crate::scenario::Kind, usize)| {
-        let shape = Shape {
+        let spec = ServerSpec {
             cores: kind.cores,
             speed: kind.speed,
             slots: kind.slots,
-            waiting: kind.queue_capacity,
-            crowded_from: kind.full_speed_concurrency.unwrap_or(u32::MAX),
-            crowding: kind.slowdown_per_request,
-            cold: contract.initial_capacity_share,
+            queue_capacity: kind.queue_capacity,
+            full_speed_concurrency: kind.full_speed_concurrency.unwrap_or(u32::MAX),
+            slowdown_per_request: kind.slowdown_per_request,
+            initial_speed: contract.initial_capacity_share,
             warm_up: contract.warm_up_duration.as_secs_f64(),
         };
         let name = format!("s-{}-{nth}", kind.name);
         let zone = nth % scenario.zone.len();
-        let (connections, stops_when_left) = (kind.connections, kind.cancels_abandoned_work);
+        let (connections, cancels_abandoned_work) = (kind.connections, kind.cancels_abandoned_work);
         let cell = scenario.cell.map_or(0, |size| servers_in_zone[zone] / size);
         servers_in_zone[zone] += 1;
         let cell = zone + cell * scenario.zone.len();
-        let traits = Traits { name, kind: number, zone, cell, shape, connections, stops_when_left };
+        let traits = Traits { name, kind: number, zone, cell, spec, connections, cancels_abandoned_work };
         Server::new(traits, scenario.fleet.proxies, play.clone(), contract.clone())
     };
     each.map(server).collect()
@@ -248,7 +248,7 @@
     options: &Options,
     others: Option<&[SocketAddr]>,
 ) -> Result<Environment, RunError> {
-    let play = Play::new(Ledger::new(scenario.warm_up.as_secs_f64()));
+    let play = RunContext::new(Ledger::new(scenario.warm_up.as_secs_f64()));
     let servers = servers(scenario, &play);
     let (mut links, mut addresses) = (Vec::new(), Vec::new());
     for proxy in 0..scenario.fleet.proxies {
@@ -271,8 +271,8 @@
     }
     let zones = scenario.zone.iter().map(|zone| zone.name.clone()).collect();
     let kinds: Vec<String> = scenario.kind.iter().map(|kind| kind.name.clone()).collect();
-    let shape = scenario.discovery.clone();
-    let discovery = Discovery::new(play.clone(), servers.clone(), zones, kinds.clone(), addresses, shape);
+    let settings = scenario.discovery.clone();
+    let discovery = Discovery::new(play.clone(), servers.clone(), zones, kinds.clone(), addresses, settings);
     let peers = match scenario.fleet.parts.contains_key("membership") {
         true => {
             let count = scenario.zone.len();
@@ -342,7 +342,7 @@
     let proxies = proxies.map(|(proxy, process)| {
         let ServedStats { requests, served_share } =
             figures.by_proxy.get(&proxy).copied().unwrap_or_default();
-        let peer_bytes = environment.peers.as_ref().map_or(0, |peers| peers.sent(proxy));
+        let peer_bytes = environment.peers.as_ref().map_or(0, |peers| peers.sent_bytes(proxy));
         ProxyReport { proxy, usage: process.usage(), peer_bytes, requests, served_share }
     });
     Report {
@@ -357,7 +357,7 @@
 }
 
 /// Prints the figures of each second to standard error.
-async fn print_progress(play: Play, duration: Duration) {
+async fn print_progress(play: RunContext, duration: Duration) {
     for second in 1..=duration.as_secs() {
         // One second after its end, when most of its requests have got their final response.
         sleep_until(play.instant(second as f64 + 1.0)).await;
--- a/testbed/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -246,7 +246,7 @@
     pub name: String,
     /// Number of order servers of this kind.
     pub servers: usize,
-    /// Number of cores; see [`crate::station::Shape`] for this and the following fields.
+    /// Number of cores; see [`crate::station::ServerSpec`] for this and the following fields.
     pub cores: u32,
     /// Speed of a core, relative to a standard core.
     pub speed: f64,
--- a/testbed/src/servers.rs
+++ b/testbed/src/servers.rs
@@ -1,4 +1,5 @@
-//! Stand-ins of order servers: HTTP over links, with the queues of [`crate::station`] behind it.
+//! Simulated order servers: HTTP/1 over simulated links, with the queueing model of [`crate::station`] behind
+//! it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -22,37 +23,39 @@
 use crate::ledger::{Ledger, Rule, Txn};
 use crate::link::{Link, LinkListener, LinkStream};
 use crate::scenario::Contract;
-use crate::station::{Offer, Seconds, Shape, Station};
-
-/// What a cold server may be sent beyond the rule, for chance.
-const COLD_SLACK: f64 = 1.1;
-/// How old a report of `util` is at the most.
-const REPORT_EVERY: Duration = Duration::from_millis(250);
-/// What turns a request away costs nothing worth counting; the repeat of a key that has run costs this much work.
-const RECALL: Seconds = 0.0002;
-/// A pause where the system has no more descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-
-/// What all stand-ins share: the start of the play, and the ledger.
+use crate::station::{Admission, QueueModel, Seconds, ServerSpec};
+
+/// Tolerance for random variation when the work sent to a server in its warm-up is compared with the
+/// contract.
+const WARM_UP_TOLERANCE: f64 = 1.1;
+/// Interval at which the reported utilisation (`util`) is updated.
+const UTILIZATION_INTERVAL: Duration = Duration::from_millis(250);
+/// Work of repeating the response for an idempotency key that has already run. Rejecting a request costs
+/// none.
+const REPLAY_WORK: Seconds = 0.0002;
+/// Backoff after a failed accept, as when the process has run out of file descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+
+/// What all simulated parties of a run share: the time at which the load starts, and the ledger.
 #[derive(Clone)]
-pub struct Play {
+pub struct RunContext {
     start: Rc<Cell<Instant>>,
-    /// Of all requests.
+    /// Record of all requests of the run.
     pub ledger: Rc<RefCell<Ledger>>,
 }
 
-impl Play {
-    /// A play whose load has not begun.
-    pub fn new(ledger: Ledger) -> Play {
-        Play { start: Rc::new(Cell::new(Instant::now())), ledger: Rc::new(RefCell::new(ledger)) }
+impl RunContext {
+    /// Creates a run whose load has not started.
+    pub fn new(ledger: Ledger) -> RunContext {
+        RunContext { start: Rc::new(Cell::new(Instant::now())), ledger: Rc::new(RefCell::new(ledger)) }
     }
 
-    /// The load begins at that moment.
+    /// Sets when the load starts.
     pub fn begin(&self, at: Instant) {
         self.start.set(at);
     }
 
-    /// Since the start of the load.
+    /// Time since the start of the load; negative before it.
     pub fn now(&self) -> Seconds {
         let now = Instant::now();
         match now.checked_duration_since(self.start.get()) {
@@ -61,176 +64,179 @@
         }
     }
 
-    /// When that is on the machine's clock.
+    /// Converts a time since the start of the load to the machine's clock.
     pub fn instant(&self, at: Seconds) -> Instant {
         self.start.get() + Duration::from_secs_f64(at.max(0.0))
     }
 }
 
-/// What a server does with its requests at present.
+/// How a server responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    /// Serves them.
+pub enum ResponseMode {
+    /// Serves requests.
     Well,
-    /// Takes them and gives nothing.
+    /// Accepts requests and never responds.
     Silent,
-    /// Answers 500 at once.
+    /// Responds 500 at once.
     Error,
 }
 
-/// What a server is, for as long as the play lasts.
+/// The properties of a server that stay the same throughout a run.
 pub struct Traits {
-    /// As discovery calls it.
+    /// Endpoint name in discovery.
     pub name: String,
-    /// By number.
+    /// Index of its kind in the scenario.
     pub kind: usize,
-    /// By number.
+    /// Index of its zone in the scenario.
     pub zone: usize,
-    /// The servers that share the keys they have seen, by a number that no other zone has.
+    /// Number of its cell, unique across zones. The servers of a cell share the idempotency keys they have
+    /// seen.
     pub cell: usize,
-    /// What it can do.
-    pub shape: Shape,
-    /// How many connections it holds.
+    /// Its capacity in the queueing model.
+    pub spec: ServerSpec,
+    /// Maximum number of open connections; requests on connections beyond it are rejected.
     pub connections: usize,
-    /// Work that nobody waits for any more is stopped.
-    pub stops_when_left: bool,
+    /// Whether a request is cancelled when its connection ends before the response.
+    pub cancels_abandoned_work: bool,
 }
 
-/// An order server.
+/// A simulated order server.
 pub struct Server {
-    /// What it is.
+    /// Its fixed properties.
     pub traits: Traits,
-    play: Play,
+    run: RunContext,
     contract: Contract,
-    station: RefCell<Station>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<()>>>,
+    model: RefCell<QueueModel>,
+    completions: RefCell<HashMap<u64, oneshot::Sender<()>>>,
     changed: Notify,
-    mood: Cell<Mood>,
+    response_mode: Cell<ResponseMode>,
     draining: Cell<bool>,
     connections: Cell<usize>,
-    next: Cell<u64>,
-    /// When its process started; nothing if before the play.
+    next_id: Cell<u64>,
+    /// When its process started; `None` if before the run.
     started: Cell<Option<Seconds>>,
-    /// While it is cold: what it was sent lately, each with when.
-    sent: RefCell<VecDeque<(Seconds, Seconds)>>,
-    pushed_over: Cell<bool>,
+    /// During the warm-up: arrival time and work of each request within the overload window.
+    recent_work: RefCell<VecDeque<(Seconds, Seconds)>>,
+    overload_recorded: Cell<bool>,
     util: Cell<f64>,
-    /// When each client proxy was told of its drain.
-    told: RefCell<Vec<Option<Seconds>>>,
-    /// Whether operators have taken it out there.
-    by_hand: RefCell<Vec<bool>>,
+    /// When each client proxy was notified that this server drains.
+    drain_notified_at: RefCell<Vec<Option<Seconds>>>,
+    /// Whether an operator has disabled this server, for each client proxy.
+    operator_disabled: RefCell<Vec<bool>>,
 }
 
 impl Server {
-    /// A warm server that `proxies` client proxies may use.
-    pub fn new(traits: Traits, proxies: usize, play: Play, contract: Contract) -> Rc<Server> {
-        let shape = Shape { cold: 1.0, ..traits.shape.clone() };
-        let station = RefCell::new(Station::new(shape, play.now()));
+    /// Creates a warmed-up server for `proxies` client proxies.
+    pub fn new(traits: Traits, proxies: usize, run: RunContext, contract: Contract) -> Rc<Server> {
+        let spec = ServerSpec { initial_speed: 1.0, ..traits.spec.clone() };
+        let model = RefCell::new(QueueModel::new(spec, run.now()));
         let server = Rc::new(Server {
             traits,
-            play,
+            run,
             contract,
-            station,
-            waiting: RefCell::default(),
+            model,
+            completions: RefCell::default(),
             changed: Notify::new(),
-            mood: Cell::new(Mood::Well),
+            response_mode: Cell::new(ResponseMode::Well),
             draining: Cell::new(false),
             connections: Cell::new(0),
-            next: Cell::new(0),
+            next_id: Cell::new(0),
             started: Cell::new(None),
-            sent: RefCell::default(),
-            pushed_over: Cell::new(false),
+            recent_work: RefCell::default(),
+            overload_recorded: Cell::new(false),
             util: Cell::new(0.0),
-            told: RefCell::new(vec![None; proxies]),
-            by_hand: RefCell::new(vec![false; proxies]),
+            drain_notified_at: RefCell::new(vec![None; proxies]),
+            operator_disabled: RefCell::new(vec![false; proxies]),
         });
-        spawn_local(Rc::clone(&server).drive());
-        spawn_local(Rc::clone(&server).report());
+        spawn_local(Rc::clone(&server).run_queue());
+        spawn_local(Rc::clone(&server).track_utilization());
         server
     }
 
-    /// The load begins: the clock was set.
+    /// Resets the queueing model at the start of the load, since that has changed the clock of the run.
     pub fn begin(&self) {
-        let shape = Shape { cold: 1.0, ..self.traits.shape.clone() };
-        self.station.replace(Station::new(shape, self.play.now()));
+        let spec = ServerSpec { initial_speed: 1.0, ..self.traits.spec.clone() };
+        self.model.replace(QueueModel::new(spec, self.run.now()));
     }
 
-    /// From now on it does this with its requests.
-    pub fn mood(&self, mood: Mood) {
-        self.mood.set(mood);
+    /// Sets how it responds to requests from now on.
+    pub fn set_response_mode(&self, mode: ResponseMode) {
+        self.response_mode.set(mode);
     }
 
-    /// From now on it works so many times slower than it is made for.
+    /// Divides its normal speed by `times`.
     pub fn slow(&self, times: f64) {
-        let speed = self.traits.shape.speed / times;
-        self.step();
-        self.station.borrow_mut().set_speed(speed);
+        let speed = self.traits.spec.speed / times;
+        self.advance();
+        self.model.borrow_mut().set_speed(speed);
         self.changed.notify_one();
     }
 
-    /// It does no work for so long.
+    /// Stops all work for that long.
     pub fn pause(&self, lasts: Duration) {
-        self.step();
-        self.station.borrow_mut().pause(self.play.now() + lasts.as_secs_f64());
+        self.advance();
+        self.model.borrow_mut().pause(self.run.now() + lasts.as_secs_f64());
         self.changed.notify_one();
     }
 
-    /// It takes nothing new any more.
+    /// Starts its drain: new requests are rejected.
     pub fn drain(&self) {
         self.draining.set(true);
     }
 
-    /// Whether it drains.
+    /// Whether it is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// A client proxy was told of its drain.
-    pub fn tell(&self, proxy: usize) {
-        let now = self.play.now();
-        if let Some(told) = self.told.borrow_mut().get_mut(proxy) {
-            told.get_or_insert(now);
+    /// Records that a client proxy was notified of the drain; the first notification counts.
+    pub fn notify_draining(&self, proxy: usize) {
+        let now = self.run.now();
+        if let Some(notified_at) = self.drain_notified_at.borrow_mut().get_mut(proxy) {
+            notified_at.get_or_insert(now);
         }
     }
 
-    /// A client proxy was told that it serves.
-    pub fn untell(&self, proxy: usize) {
-        if let Some(told) = self.told.borrow_mut().get_mut(proxy)
-            && !self.by_hand.borrow()[proxy]
+    /// Records that a client proxy was notified that this server serves. An operator override there stays.
+    pub fn notify_serving(&self, proxy: usize) {
+        if let Some(notified_at) = self.drain_notified_at.borrow_mut().get_mut(proxy)
+            && !self.operator_disabled.borrow()[proxy]
         {
-            *told = None;
+            *notified_at = None;
         }
     }
 
-    /// Operators have taken it out at a client proxy, or put it back: until then it counts as draining there.
-    pub fn by_hand(&self, proxy: usize, out: bool) {
-        self.by_hand.borrow_mut()[proxy] = out;
-        if out { self.tell(proxy) } else { self.untell(proxy) }
+    /// Records that an operator has disabled this server at a client proxy, or enabled it again. While
+    /// disabled, it counts as draining there.
+    pub fn set_operator_override(&self, proxy: usize, disabled: bool) {
+        self.operator_disabled.borrow_mut()[proxy] = disabled;
+        if disabled { self.notify_draining(proxy) } else { self.notify_serving(proxy) }
     }
 
-    /// Its process starts anew: what it had is gone, and it is cold.
+    /// Restarts its process: all requests are lost, and it warms up again.
     pub fn restart(&self) {
-        let now = self.play.now();
-        self.waiting.borrow_mut().clear();
-        self.sent.borrow_mut().clear();
-        self.station.replace(Station::new(self.traits.shape.clone(), now));
+        let now = self.run.now();
+        self.completions.borrow_mut().clear();
+        self.recent_work.borrow_mut().clear();
+        self.model.replace(QueueModel::new(self.traits.spec.clone(), now));
         self.started.set(Some(now));
         self.draining.set(false);
-        (0..self.by_hand.borrow().len()).for_each(|proxy| self.untell(proxy));
-        self.mood.set(Mood::Well);
-        self.pushed_over.set(false);
+        (0..self.operator_disabled.borrow().len()).for_each(|proxy| self.notify_serving(proxy));
+        self.response_mode.set(ResponseMode::Well);
+        self.overload_recorded.set(false);
         self.changed.notify_one();
     }
 
-    /// When its process started; nothing if before the play.
+    /// When its process started; `None` if before the run.
     pub fn started(&self) -> Option<Seconds> {
         self.started.get()
     }
 
-    /// Takes connections in from one client proxy for as long as the play lasts. Gives the address for it.
+    /// Accepts connections from one client proxy until the end of the run. Returns the address for that
+    /// proxy.
     ///
     /// # Errors
-    /// As the system says.
+    /// If no listening socket can be created.
     pub fn open(self: &Rc<Self>, proxy: usize, crosses: bool, link: Rc<Link>) -> io::Result<SocketAddr> {
         let mut listener = LinkListener::open(Rc::clone(&link))?;
         let (address, server) = (listener.address(), Rc::clone(self));
@@ -239,51 +245,59 @@
                 match listener.accept().await {
                     Ok(stream) => {
                         let link = Rc::clone(&link);
-                        spawn_local(Rc::clone(&server).connection(stream, proxy, crosses, link));
+                        spawn_local(Rc::clone(&server).serve_connection(stream, proxy, crosses, link));
                     }
-                    Err(_) => sleep(ACCEPT_PAUSE).await,
+                    Err(_) => sleep(ACCEPT_BACKOFF).await,
                 }
             }
         });
         Ok(address)
     }
 
-    async fn connection(self: Rc<Self>, stream: LinkStream, proxy: usize, crosses: bool, link: Rc<Link>) {
+    async fn serve_connection(
+        self: Rc<Self>,
+        stream: LinkStream,
+        proxy: usize,
+        crosses: bool,
+        link: Rc<Link>,
+    ) {
         let full = self.connections.get() >= self.traits.connections;
         self.connections.set(self.connections.get() + 1);
         let is_open = stream.is_open();
         let service = service_fn(|request| {
             let (server, is_open) = (Rc::clone(&self), is_open.clone());
-            let ways = link.delays();
-            async move { Ok::<_, Infallible>(server.answer(request, proxy, crosses, full, is_open, ways).await) }
+            let delays = link.delays();
+            async move {
+                Ok::<_, Infallible>(server.respond(request, proxy, crosses, full, is_open, delays).await)
+            }
         });
-        // How a connection ends is seen by the attempt on it.
+        // An error of the connection also ends the attempt on it, which records it.
         let _ = Builder::new().serve_connection(TokioIo::new(stream), service).await;
         self.connections.set(self.connections.get() - 1);
     }
 
-    async fn answer(
+    async fn respond(
         &self,
         request: Request<Incoming>,
         proxy: usize,
         crosses: bool,
         full: bool,
         is_open: impl Fn() -> bool + 'static,
-        (out, back): (Duration, Duration),
+        (forward_delay, reverse_delay): (Duration, Duration),
     ) -> Response<Full<Bytes>> {
-        let begun = self.play.now();
+        let received_at = self.run.now();
         let (head, body) = request.into_parts();
         if body.collect().await.is_err() {
-            return plain(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         }
         let text = head.headers.get("x-txn").and_then(|txn| txn.to_str().ok());
-        let Some(text) = text else { return plain(StatusCode::NOT_FOUND) };
+        let Some(text) = text else { return empty_response(StatusCode::NOT_FOUND) };
         let txn = Txn(usize::from_str_radix(text, 16).unwrap_or(usize::MAX));
-        let now = self.play.now();
-        let reached = now - out.as_secs_f64();
-        let told = self.told.borrow().get(proxy).copied().flatten();
+        let now = self.run.now();
+        let reached = now - forward_delay.as_secs_f64();
+        let notified_at = self.drain_notified_at.borrow().get(proxy).copied().flatten();
         let entered = {
-            let mut ledger = self.play.ledger.borrow_mut();
+            let mut ledger = self.run.ledger.borrow_mut();
             let entered = ledger.begin_attempt(
                 txn,
                 now,
@@ -292,42 +306,42 @@
                 Box::new(is_open),
             );
             let grace = self.contract.drain_grace.as_secs_f64() + 0.05;
-            if let Some(told) = told.filter(|told| begun > told + grace) {
-                let after = begun - told;
+            if let Some(notified_at) = notified_at.filter(|notified_at| received_at > notified_at + grace) {
+                let after = received_at - notified_at;
                 ledger.record_violation(
                     Rule::Drain,
                     now,
                     &format!("{} got {txn:?} {after:.2} s after", self.traits.name),
                 );
             }
-            entered.map(|attempt| Over { attempt, play: self.play.clone() })
+            entered.map(|attempt| AttemptGuard { attempt, run: self.run.clone() })
         };
-        let Some(_over) = entered else { return plain(StatusCode::BAD_REQUEST) };
+        let Some(_attempt_guard) = entered else { return empty_response(StatusCode::BAD_REQUEST) };
         if full || self.draining.get() {
-            return turned_away();
+            return rejected();
         }
-        match self.mood.get() {
-            Mood::Well => {}
-            Mood::Error => return plain(StatusCode::INTERNAL_SERVER_ERROR),
-            Mood::Silent => std::future::pending().await,
+        match self.response_mode.get() {
+            ResponseMode::Well => {}
+            ResponseMode::Error => return empty_response(StatusCode::INTERNAL_SERVER_ERROR),
+            ResponseMode::Silent => std::future::pending().await,
         }
-        let Some((id, done)) = self.offer(txn) else { return turned_away() };
-        let mut waits = Waits { server: self, id: Some(id) };
+        let Some((id, done)) = self.offer(txn) else { return rejected() };
+        let mut cancel_guard = CancelGuard { server: self, id: Some(id) };
         if done.await.is_err() {
-            // Its process has ended.
+            // The server's process was restarted and has lost this request.
             std::future::pending::<()>().await;
         }
-        waits.id = None;
-        let now = self.play.now();
-        let mut ledger = self.play.ledger.borrow_mut();
+        cancel_guard.id = None;
+        let now = self.run.now();
+        let mut ledger = self.run.ledger.borrow_mut();
         let Traits { zone, cell, .. } = self.traits;
         if !ledger.knows_key(txn, now, (zone, cell)) {
             ledger.record_effect(txn, now, &self.traits.name, (zone, cell));
         }
-        ledger.record_response(txn, reached, now + back.as_secs_f64());
+        ledger.record_response(txn, reached, now + reverse_delay.as_secs_f64());
         drop(ledger);
         let mut response = Response::new(Full::new(Bytes::from(body_of(txn))));
-        let (working, waiting) = self.station.borrow().held();
+        let (working, waiting) = self.model.borrow().queue_lengths();
         let report = format!("inflight={working},queue={waiting},util={:.2}", self.util.get());
         if let Ok(report) = report.try_into() {
             response.headers_mut().insert("x-pressure", report);
@@ -335,72 +349,74 @@
         response
     }
 
-    /// Puts a request into the queue, if there is a place.
+    /// Adds a request to the queue. Returns `None` if the queue is full.
     fn offer(&self, txn: Txn) -> Option<(u64, oneshot::Receiver<()>)> {
-        self.step();
-        let now = self.play.now();
+        self.advance();
+        let now = self.run.now();
         let work = {
-            let ledger = self.play.ledger.borrow();
-            let asked = ledger.request(txn).map_or(0.0, |request| request.work);
+            let ledger = self.run.ledger.borrow();
+            let work = ledger.request(txn).map_or(0.0, |request| request.work);
             let Traits { zone, cell, .. } = self.traits;
-            if ledger.knows_key(txn, now, (zone, cell)) { RECALL } else { asked }
+            if ledger.knows_key(txn, now, (zone, cell)) { REPLAY_WORK } else { work }
         };
-        self.watch_cold(now, work);
-        let id = self.next.replace(self.next.get() + 1);
-        let offered = self.station.borrow_mut().offer(id, work);
-        if offered == Offer::Full {
+        self.check_warm_up_load(now, work);
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        let offered = self.model.borrow_mut().offer(id, work);
+        if offered == Admission::Full {
             return None;
         }
         let (done, wait) = oneshot::channel();
-        self.waiting.borrow_mut().insert(id, done);
+        self.completions.borrow_mut().insert(id, done);
         self.changed.notify_one();
         Some((id, wait))
     }
 
-    /// Whether what a cold server is sent keeps to the rule.
-    fn watch_cold(&self, now: Seconds, work: Seconds) {
+    /// Records a violation if the work sent during the warm-up exceeds what the contract allows.
+    fn check_warm_up_load(&self, now: Seconds, work: Seconds) {
         let Contract {
-            warm_up_duration: cold, overload_window: fall, overload_multiple: fall_multiple, ..
+            warm_up_duration: warm_up, overload_window: window, overload_multiple: multiple, ..
         } = self.contract;
-        let (cold, fall) = (cold.as_secs_f64(), fall.as_secs_f64());
-        if self.started.get().is_none_or(|started| now > started + cold) {
+        let (warm_up, window) = (warm_up.as_secs_f64(), window.as_secs_f64());
+        if self.started.get().is_none_or(|started| now > started + warm_up) {
             return;
         }
-        let mut sent = self.sent.borrow_mut();
-        sent.push_back((now, work));
-        while sent.front().is_some_and(|(at, _)| *at < now - fall) {
-            sent.pop_front();
+        let mut recent_work = self.recent_work.borrow_mut();
+        recent_work.push_back((now, work));
+        while recent_work.front().is_some_and(|(at, _)| *at < now - window) {
+            recent_work.pop_front();
         }
-        let all: Seconds = sent.iter().map(|(_, work)| work).sum();
-        let most = sent.iter().map(|(_, work)| *work).fold(0.0, f64::max);
-        let capacity = self.station.borrow().capacity();
-        if all > fall_multiple * capacity * fall * COLD_SLACK + most && !self.pushed_over.replace(true) {
+        let all: Seconds = recent_work.iter().map(|(_, work)| work).sum();
+        let largest = recent_work.iter().map(|(_, work)| *work).fold(0.0, f64::max);
+        let capacity = self.model.borrow().capacity();
+        if all > multiple * capacity * window * WARM_UP_TOLERANCE + largest
+            && !self.overload_recorded.replace(true)
+        {
             let how = format!(
                 "{} was sent {all:.3} s of work, and can do {capacity:.3} a second",
                 self.traits.name
             );
-            self.play.ledger.borrow_mut().record_violation(Rule::Cold, now, &how);
+            self.run.ledger.borrow_mut().record_violation(Rule::Cold, now, &how);
         }
     }
 
-    /// Lets the queue catch up with the clock.
-    fn step(&self) {
-        let done = self.station.borrow_mut().advance(self.play.now());
+    /// Advances the queueing model to the current time and completes the requests that are done.
+    fn advance(&self) {
+        let done = self.model.borrow_mut().advance(self.run.now());
         for (id, _) in done {
-            if let Some(done) = self.waiting.borrow_mut().remove(&id) {
-                // One who has gone needs no answer: the work was done all the same.
+            if let Some(done) = self.completions.borrow_mut().remove(&id) {
+                // The send fails if the client proxy has disconnected; the work was done nevertheless.
                 let _ = done.send(());
             }
         }
     }
 
-    async fn drive(self: Rc<Self>) {
+    async fn run_queue(self: Rc<Self>) {
         loop {
-            self.step();
-            let next = self.station.borrow().next();
+            self.advance();
+            let next = self.model.borrow().next_event();
             match next {
                 Some(next) => tokio::select! {
-                    _ = sleep_until(self.play.instant(next)) => {}
+                    _ = sleep_until(self.run.instant(next)) => {}
                     _ = self.changed.notified() => {}
                 },
                 None => self.changed.notified().await,
@@ -408,60 +424,61 @@
         }
     }
 
-    async fn report(self: Rc<Self>) {
-        let mut before = self.station.borrow().busy();
+    async fn track_utilization(self: Rc<Self>) {
+        let mut before = self.model.borrow().busy();
         loop {
-            sleep(REPORT_EVERY).await;
-            let busy = self.station.borrow().busy();
-            let most = REPORT_EVERY.as_secs_f64() * f64::from(self.traits.shape.cores);
-            self.util.set(((busy - before) / most).clamp(0.0, 1.0));
+            sleep(UTILIZATION_INTERVAL).await;
+            let busy = self.model.borrow().busy();
+            let max_busy = UTILIZATION_INTERVAL.as_secs_f64() * f64::from(self.traits.spec.cores);
+            self.util.set(((busy - before) / max_busy).clamp(0.0, 1.0));
             before = busy;
         }
     }
 }
 
-/// What an order server says of a request that it has served: a client can tell that it was made for it.
+/// Response body for a served request. It names the request, so that a client detects a response to another
+/// one.
 pub fn body_of(txn: Txn) -> String {
     format!("done {:016x}", txn.0)
 }
 
-/// An attempt is over when this is dropped: answered, or its connection has ended.
-struct Over {
+/// Records the end of an attempt when dropped: after its response, or when its connection has ended.
+struct AttemptGuard {
     attempt: crate::ledger::Attempt,
-    play: Play,
+    run: RunContext,
 }
 
-impl Drop for Over {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.play.ledger.borrow_mut().end_attempt(self.attempt);
+        self.run.ledger.borrow_mut().end_attempt(self.attempt);
     }
 }
 
-/// A request in the queue that somebody waits for, until this is dropped.
-struct Waits<'s> {
+/// Cancels a queued request when dropped, if the server stops work whose connection has ended.
+struct CancelGuard<'s> {
     server: &'s Server,
     id: Option<u64>,
 }
 
-impl Drop for Waits<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        if let Some(id) = self.id.filter(|_| self.server.traits.stops_when_left) {
-            self.server.step();
-            self.server.waiting.borrow_mut().remove(&id);
-            self.server.station.borrow_mut().cancel(id);
+        if let Some(id) = self.id.filter(|_| self.server.traits.cancels_abandoned_work) {
+            self.server.advance();
+            self.server.completions.borrow_mut().remove(&id);
+            self.server.model.borrow_mut().cancel(id);
             self.server.changed.notify_one();
         }
     }
 }
 
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-fn turned_away() -> Response<Full<Bytes>> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
+fn rejected() -> Response<Full<Bytes>> {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert("x-turned-away", hyper::header::HeaderValue::from_static("1"));
     response
 }
--- a/testbed/src/station.rs
+++ b/testbed/src/station.rs
@@ -1,189 +1,201 @@
-//! The queueing model of an order server, without I/O or a clock: cores, slots, a waiting room, crowding, warm-up and
-//! pauses. Requests in, and later out, at times that the caller tells.
+//! Queueing model of an order server: cores, slots, a bounded queue, slowdown under concurrency, warm-up and
+//! pauses. It does no I/O and reads no clock; the caller passes the time.
 //!
-//! Requests in work share the cores evenly. With as many slots as cores it is the M/M/c queue of the textbooks, against
-//! which it is tested.
+//! Running requests share the cores evenly. With as many slots as cores it is an M/M/c queue, against whose
+//! formula it is tested.
 
 use std::collections::VecDeque;
 
 /// Seconds on the caller's clock, which never runs backwards.
 pub type Seconds = f64;
 
-/// While a server warms up its speed changes all the time; it is taken as constant for so long.
-const WARM_STEP: Seconds = 0.02;
-/// Work below this is done: sums of times are not exact.
-const NOTHING: Seconds = 1e-9;
+/// Interval for which the speed is taken as constant during the warm-up, in which it rises steadily.
+const WARM_UP_STEP: Seconds = 0.02;
+/// Remaining work up to which a request counts as done, since sums of floating-point times are inexact. Also
+/// the smallest step of the model's clock.
+const WORK_EPSILON: Seconds = 1e-9;
 
-/// What a server can do.
+/// Capacity of a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shape {
-    /// Requests that are worked on at full speed at once.
+pub struct ServerSpec {
+    /// Number of cores: as many requests run at once at full speed.
     pub cores: u32,
-    /// Work that a core does in a second, in seconds of a standard core.
+    /// Speed of a core, relative to a standard core.
     pub speed: f64,
-    /// Requests in work at once.
+    /// Maximum number of running requests.
     pub slots: u32,
-    /// Requests that wait for a slot. Those beyond are turned away.
-    pub waiting: u32,
-    /// So many requests in work and waiting are borne without loss ...
-    pub crowded_from: u32,
-    /// ... and each one beyond takes this part of what is left of the speed.
-    pub crowding: f64,
-    /// The part of its speed that it has when it starts, and how long until it has all of it.
-    pub cold: f64,
-    /// See `cold`.
+    /// Maximum number of requests that wait for a slot; further ones are rejected.
+    pub queue_capacity: u32,
+    /// Number of running and queued requests up to which the server keeps its full speed.
+    pub full_speed_concurrency: u32,
+    /// Share of the remaining speed that each request beyond `full_speed_concurrency` costs.
+    pub slowdown_per_request: f64,
+    /// Share of its full speed that the server has when it starts.
+    pub initial_speed: f64,
+    /// Time from the start until the server has its full speed; the speed rises linearly.
     pub warm_up: Seconds,
 }
 
-/// What becomes of a request that comes to a server.
+/// Result of offering a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
-    /// It is in work or waits.
-    Taken,
-    /// It was turned away, and never ran.
+pub enum Admission {
+    /// The request runs or is queued.
+    Accepted,
+    /// The queue was full; the request was rejected and never ran.
     Full,
 }
 
 struct Job {
     id: u64,
-    /// Seconds of a standard core that are left.
-    left: Seconds,
+    /// In seconds of a standard core.
+    remaining_work: Seconds,
 }
 
-/// An order server.
-pub struct Station {
-    shape: Shape,
+/// Queueing model of one order server.
+pub struct QueueModel {
+    spec: ServerSpec,
     now: Seconds,
     started: Seconds,
-    working: Vec<Job>,
-    waiting: VecDeque<Job>,
+    running: Vec<Job>,
+    queued: VecDeque<Job>,
     paused_until: Seconds,
-    /// Core time in use since the start.
+    /// Core time used since the start.
     busy: Seconds,
 }
 
-impl Station {
-    /// A server that started at `started`, with nothing to do.
-    pub fn new(shape: Shape, started: Seconds) -> Station {
-        Station {
-            shape,
+impl QueueModel {
+    /// Creates an idle server whose process started at `started`.
+    pub fn new(spec: ServerSpec, started: Seconds) -> QueueModel {
+        QueueModel {
+            spec,
             now: started,
             started,
-            working: Vec::new(),
-            waiting: VecDeque::new(),
+            running: Vec::new(),
+            queued: VecDeque::new(),
             paused_until: f64::NEG_INFINITY,
             busy: 0.0,
         }
     }
 
-    /// The part of its speed that it has: less than 1 while it is cold.
-    pub fn warmth(&self) -> f64 {
-        let Shape { cold, warm_up, .. } = self.shape;
+    /// The current share of its full speed: less than 1 during the warm-up.
+    pub fn warm_up_factor(&self) -> f64 {
+        let ServerSpec { initial_speed, warm_up, .. } = self.spec;
         let age = if warm_up > 0.0 { (self.now - self.started) / warm_up } else { 1.0 };
-        (cold + (1.0 - cold) * age).min(1.0)
+        (initial_speed + (1.0 - initial_speed) * age).min(1.0)
     }
 
-    /// Requests in work, and those that wait.
-    pub fn held(&self) -> (usize, usize) {
-        (self.working.len(), self.waiting.len())
+    /// Number of running and of queued requests.
+    pub fn queue_lengths(&self) -> (usize, usize) {
+        (self.running.len(), self.queued.len())
     }
 
-    /// Core time in use since the start, in seconds.
+    /// Core time used since the start, in seconds.
     pub fn busy(&self) -> Seconds {
         self.busy
     }
 
-    /// Work that it can do in a second at present, in seconds of a standard core.
+    /// Work that it can currently do per second, in seconds of a standard core.
     pub fn capacity(&self) -> f64 {
-        f64::from(self.shape.cores) * self.shape.speed * self.warmth()
+        f64::from(self.spec.cores) * self.spec.speed * self.warm_up_factor()
     }
 
-    /// Its cores have this speed from now on. [`Station::advance`] comes first.
+    /// Sets the speed of its cores. Call [`QueueModel::advance`] first.
     pub fn set_speed(&mut self, speed: f64) {
-        self.shape.speed = speed;
+        self.spec.speed = speed;
     }
 
-    /// Does no work until then.
+    /// Stops all work until `until`.
     pub fn pause(&mut self, until: Seconds) {
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// A request with so much work, in seconds of a standard core, comes now. [`Station::advance`] comes first.
-    pub fn offer(&mut self, id: u64, work: Seconds) -> Offer {
-        let job = Job { id, left: work };
-        if self.working.len() < self.shape.slots as usize {
-            self.working.push(job);
-        } else if self.waiting.len() < self.shape.waiting as usize {
-            self.waiting.push_back(job);
+    /// Offers a request with `work` in seconds of a standard core. Call [`QueueModel::advance`] first.
+    pub fn offer(&mut self, id: u64, work: Seconds) -> Admission {
+        let job = Job { id, remaining_work: work };
+        if self.running.len() < self.spec.slots as usize {
+            self.running.push(job);
+        } else if self.queued.len() < self.spec.queue_capacity as usize {
+            self.queued.push_back(job);
         } else {
-            return Offer::Full;
+            return Admission::Full;
         }
-        Offer::Taken
+        Admission::Accepted
     }
 
-    /// Takes a request back that nobody waits for any more; true if it was still here.
+    /// Cancels a request. Returns whether it was still running or queued.
     pub fn cancel(&mut self, id: u64) -> bool {
-        let before = self.working.len() + self.waiting.len();
-        self.working.retain(|job| job.id != id);
-        self.waiting.retain(|job| job.id != id);
-        self.fill();
-        before > self.working.len() + self.waiting.len()
+        let before = self.running.len() + self.queued.len();
+        self.running.retain(|job| job.id != id);
+        self.queued.retain(|job| job.id != id);
+        self.fill_slots();
+        before > self.running.len() + self.queued.len()
     }
 
-    /// Lets time pass; the requests that were done meanwhile, in order, each with when.
+    /// Advances the clock to `now`. Returns the requests that completed meanwhile, in order, with their
+    /// times.
     pub fn advance(&mut self, now: Seconds) -> Vec<(u64, Seconds)> {
         let mut done = Vec::new();
         while self.now < now {
-            let until = self.next().map_or(now, |next| next.min(now));
-            self.work(until);
-            let over: Vec<u64> = self.working.iter().filter(|j| j.left <= NOTHING).map(|j| j.id).collect();
-            self.working.retain(|job| job.left > NOTHING);
-            done.extend(over.into_iter().map(|id| (id, until)));
-            self.fill();
+            let until = self.next_event().map_or(now, |next| next.min(now));
+            self.run_until(until);
+            let finished: Vec<u64> = self
+                .running
+                .iter()
+                .filter(|job| job.remaining_work <= WORK_EPSILON)
+                .map(|job| job.id)
+                .collect();
+            self.running.retain(|job| job.remaining_work > WORK_EPSILON);
+            done.extend(finished.into_iter().map(|id| (id, until)));
+            self.fill_slots();
         }
         done
     }
 
-    /// When something happens by itself next; nothing while it has no work.
-    pub fn next(&self) -> Option<Seconds> {
-        if self.working.is_empty() {
+    /// When the state next changes without a call; `None` while there is no work.
+    pub fn next_event(&self) -> Option<Seconds> {
+        if self.running.is_empty() {
             return None;
         }
         if self.now < self.paused_until {
             return Some(self.paused_until);
         }
-        let least = self.working.iter().map(|job| job.left).fold(f64::INFINITY, f64::min);
-        // Never no time at all, where the work left is lost in the rounding of the clock.
-        let ends = (self.now + least / self.rate()).max(self.now + NOTHING);
-        Some(if self.warmth() < 1.0 { ends.min(self.now + WARM_STEP) } else { ends })
+        let min_remaining = self.running.iter().map(|job| job.remaining_work).fold(f64::INFINITY, f64::min);
+        // At least one step: remaining work that rounding loses when it is added to the clock would otherwise
+        // make `advance` loop forever.
+        let completes_at = (self.now + min_remaining / self.rate()).max(self.now + WORK_EPSILON);
+        Some(if self.warm_up_factor() < 1.0 {
+            completes_at.min(self.now + WARM_UP_STEP)
+        } else {
+            completes_at
+        })
     }
 
-    /// What each request in work gets of a standard core.
+    /// Speed at which each running request is processed, relative to a standard core.
     fn rate(&self) -> f64 {
-        let Shape { cores, speed, crowded_from, crowding, .. } = self.shape;
-        let working = self.working.len() as f64;
-        let beyond = (self.working.len() + self.waiting.len()).saturating_sub(crowded_from as usize);
-        let sound = (1.0 - crowding).powi(beyond.min(10_000) as i32).max(0.05);
-        speed * sound * self.warmth() * (f64::from(cores) / working).min(1.0)
+        let ServerSpec { cores, speed, full_speed_concurrency, slowdown_per_request, .. } = self.spec;
+        let running = self.running.len() as f64;
+        let excess = (self.running.len() + self.queued.len()).saturating_sub(full_speed_concurrency as usize);
+        let concurrency_factor = (1.0 - slowdown_per_request).powi(excess.min(10_000) as i32).max(0.05);
+        speed * concurrency_factor * self.warm_up_factor() * (f64::from(cores) / running).min(1.0)
     }
 
-    fn work(&mut self, until: Seconds) {
-        let passed = until - self.now;
-        if !self.working.is_empty() && self.now >= self.paused_until {
-            let each = passed * self.rate();
-            for job in &mut self.working {
-                job.left -= each;
+    fn run_until(&mut self, until: Seconds) {
+        let elapsed = until - self.now;
+        if !self.running.is_empty() && self.now >= self.paused_until {
+            let work_done = elapsed * self.rate();
+            for job in &mut self.running {
+                job.remaining_work -= work_done;
             }
-            self.busy += passed * f64::from(self.shape.cores).min(self.working.len() as f64);
+            self.busy += elapsed * f64::from(self.spec.cores).min(self.running.len() as f64);
         }
         self.now = until;
     }
 
-    fn fill(&mut self) {
-        while self.working.len() < self.shape.slots as usize
-            && let Some(job) = self.waiting.pop_front()
+    fn fill_slots(&mut self) {
+        while self.running.len() < self.spec.slots as usize
+            && let Some(job) = self.queued.pop_front()
         {
-            self.working.push(job);
+            self.running.push(job);
         }
     }
 }
