--- a/testbed/src/events.rs
+++ b/testbed/src/events.rs
@@ -207,10 +207,10 @@
                 }
             }
             Fault::Silent { servers, lasts } => {
-                self.set_response_mode(&servers, ResponseMode::Silent, lasts, &mut rng).await
+                self.set_response_mode(&servers, ResponseMode::Silent, lasts, &mut rng).await;
             }
             Fault::Error { servers, lasts } => {
-                self.set_response_mode(&servers, ResponseMode::Error, lasts, &mut rng).await
+                self.set_response_mode(&servers, ResponseMode::Error, lasts, &mut rng).await;
             }
             Fault::Slow { servers, times, lasts } => {
                 let servers = self.servers(&servers, &mut rng);
