--- a/testbed/src/scale.rs
+++ b/testbed/src/scale.rs
@@ -1,5 +1,5 @@
-//! Scale runs. Each run varies one dimension of the fleet's size and measures the cost at each point. Slopes and their
-//! errors are fitted over the runs of several seeds; `docs/CAPACITY.md` extrapolates from them.
+//! Scale runs. Each run varies one dimension of the fleet's size and measures the cost at each point. Slopes
+//! and their errors are fitted over the runs of several seeds; `docs/CAPACITY.md` extrapolates from them.
 
 pub mod depth;
 pub mod fit;
@@ -48,7 +48,8 @@
 pub struct Point {
     /// The position on the axis.
     pub x: f64,
-    /// Figures by name. The name has the unit, as in `memory_mb`, `idle_core_share`, `change_cpu_ms`, `down_bytes_s`.
+    /// Figures by name. The name has the unit, as in `memory_mb`, `idle_core_share`, `change_cpu_ms`,
+    /// `down_bytes_s`.
     pub figures: BTreeMap<String, f64>,
 }
 
--- a/testbed/src/scale/hollow.rs
+++ b/testbed/src/scale/hollow.rs
@@ -1,6 +1,6 @@
 //! Control-only client proxies: the discovery subscription and the balancer of the real program, driven as
-//! `client-proxy/src/discovery.rs` drives them, but without clients and order servers. Many fit into one process, on
-//! real sockets and in virtual time alike.
+//! `client-proxy/src/discovery.rs` drives them, but without clients and order servers. Many fit into one
+//! process, on real sockets and in virtual time alike.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,8 +22,8 @@
 use super::{Options, Point, Run, ScaleError};
 use crate::chance;
 
-/// Delay before the next poll, as in the client proxy, after an empty response to a watch that did not wait, and
-/// after a rejected response.
+/// Delay before the next poll, as in the client proxy, after an empty response to a watch that did not wait,
+/// and after a rejected response.
 const REPOLL_DELAY_MS: Millis = 50.0;
 /// The number of endpoint kinds.
 const KINDS: u32 = 2;
@@ -110,8 +110,8 @@
         })
     }
 
-    /// Starts, from a cached list if there is one. As in the client proxy, the first poll then requests only the
-    /// changes since that list.
+    /// Starts, from a cached list if there is one. As in the client proxy, the first poll then requests only
+    /// the changes since that list.
     pub fn start(&mut self, now: Millis, cached: Option<EndpointList>, next_steps: &mut Vec<NextStep>) {
         let entries =
             cached.map(|cached_list| self.subscription.restore(cached_list, true, now)).unwrap_or_default();
@@ -123,8 +123,8 @@
         self.subscription.next_poll()
     }
 
-    /// Handles the complete body of the response to a poll that was sent at `sent_at`. Returns the version of the
-    /// current list, or `None` if the response was rejected.
+    /// Handles the complete body of the response to a poll that was sent at `sent_at`. Returns the version of
+    /// the current list, or `None` if the response was rejected.
     ///
     /// # Errors
     /// If the body is not a valid list. The poll counts as failed, and `next_steps` already has what follows.
@@ -204,8 +204,8 @@
     (0..count).map(|n| format!("{letter}{n}")).collect()
 }
 
-/// The settings of the testbed's scenarios (`testbed/src/fleet.rs`), with the zones and regions of the modelled fleet
-/// and with discovery in subscribe mode.
+/// The settings of the testbed's scenarios (`testbed/src/fleet.rs`), with the zones and regions of the
+/// modelled fleet and with discovery in subscribe mode.
 ///
 /// # Errors
 /// If the wire settings cannot be parsed.
@@ -265,11 +265,11 @@
     number.ok_or_else(|| ScaleError::SetUp("/proc/self/status has no VmRSS in kB".to_owned()))
 }
 
-/// Endpoints in the list, from a small client proxy to one that receives the whole fleet; 9,350 are the 20 largest
-/// services.
+/// Endpoints in the list, from a small client proxy to one that receives the whole fleet; 9,350 are the 20
+/// largest services.
 const AXIS: [u32; 7] = [200, 340, 1_000, 3_400, 9_350, 18_000, ENDPOINTS];
-/// Endpoints at each point, over all client proxies there. The memory of one is the growth of the process divided by
-/// their number.
+/// Endpoints at each point, over all client proxies there. The memory of one is the growth of the process
+/// divided by their number.
 const TOTAL_ENDPOINTS: u32 = 108_000;
 const CHANGES: u32 = 200;
 const FULL_SNAPSHOTS: u32 = 5;
@@ -283,8 +283,8 @@
 /// If the resident memory cannot be read, or a list is rejected.
 pub fn run(options: &Options) -> Result<Run, ScaleError> {
     let mut rng = chance::stream(options.seed, "hollow-endpoints");
-    // All client proxies live until the end: memory freed at one point would be reused at the next, which would then
-    // show no growth.
+    // All client proxies live until the end: memory freed at one point would be reused at the next, which
+    // would then show no growth.
     let mut proxies = Vec::new();
     let points: Result<Vec<Point>, ScaleError> =
         AXIS.into_iter().map(|endpoints| point(endpoints, &mut rng, &mut proxies)).collect();
@@ -328,7 +328,8 @@
         apply(&mut proxy, 0.0, &snapshot, &mut next_steps)?;
         Ok((proxy, next_steps))
     };
-    // The first one grows the heap by the temporary memory that parsing a list takes, so that later ones do not.
+    // The first one grows the heap by the temporary memory that parsing a list takes, so that later ones do
+    // not.
     let (mut proxy, mut next_steps) = proxy_with_list()?;
     let (before, count) = (resident_memory_kb()?, (TOTAL_ENDPOINTS / endpoints).max(3));
     for _ in 0..count {
--- a/testbed/src/scale/hollow/tests.rs
+++ b/testbed/src/scale/hollow/tests.rs
@@ -11,8 +11,9 @@
     (0..count).map(|endpoint| entry_json(endpoint, 5, "SERVING")).collect()
 }
 
-/// The polls have to be those of the client proxy: a full snapshot first, then a watch, and after a failure a resync,
-/// sent once the balancer's backoff timer fires. Otherwise the measured load on discovery is not the real one.
+/// The polls have to be those of the client proxy: a full snapshot first, then a watch, and after a failure a
+/// resync, sent once the balancer's backoff timer fires. Otherwise the measured load on discovery is not the
+/// real one.
 #[test]
 fn polls_match_the_client_proxy() {
     let (mut proxy, mut next_steps) = started(PeriodicEvaluation::Disabled);
@@ -35,8 +36,8 @@
     assert_eq!(next_steps, [NextStep::Poll { delay_ms: 0.0 }]);
 }
 
-/// Without a delay, a discovery that answers watches at once, sends rejected responses or sends invalid lists would be
-/// polled in a tight loop.
+/// Without a delay, a discovery that answers watches at once, sends rejected responses or sends invalid lists
+/// would be polled in a tight loop.
 #[test]
 fn useless_response_delays_next_poll() {
     let (mut proxy, mut next_steps) = started(PeriodicEvaluation::Disabled);
@@ -56,8 +57,8 @@
     assert_eq!(proxy.next_poll().after, None);
 }
 
-/// The evaluation is recognised by its timer token. If another timer were mistaken for it, or its token were lost, the
-/// periodic evaluation would stop, and the idle CPU would be measured too low.
+/// The evaluation is recognised by its timer token. If another timer were mistaken for it, or its token were
+/// lost, the periodic evaluation would stop, and the idle CPU would be measured too low.
 #[test]
 fn evaluation_timer_rearms_every_100_ms() {
     let (mut proxy, mut next_steps) = started(PeriodicEvaluation::Enabled);
@@ -74,7 +75,8 @@
     }
 }
 
-/// An entry that the client proxy cannot parse would be skipped, so the run would measure a shorter list than it says.
+/// An entry that the client proxy cannot parse would be skipped, so the run would measure a shorter list than
+/// it says.
 #[test]
 fn all_generated_entries_are_parsed() {
     let (mut proxy, mut next_steps) = started(PeriodicEvaluation::Disabled);
--- a/testbed/src/scale/watchers.rs
+++ b/testbed/src/scale/watchers.rs
@@ -1,5 +1,5 @@
-//! A lean stand-in of discovery on real sockets, and hollow client proxies that watch it. Each side has a thread of its
-//! own, so that their CPU time can be told apart.
+//! A minimal discovery server on real sockets, and control-only client proxies that watch it. Each side has
+//! its own thread, so that their CPU times can be measured separately.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -39,140 +39,143 @@
 use super::{Options, Point, Run, ScaleError};
 use crate::chance;
 
-/// With more watchers no change is played: their own one thread is then what a change waits for. In a trial with 9,000 it
-/// had 48,504 calls fail.
-const CHANGES_UP_TO: u32 = 3_000;
+/// With more watchers no changes are made, because the time until a change is in force would be that of the
+/// watchers' single thread. With 9,000 watchers that thread was so late that 48,504 polls failed.
+const MAX_WATCHERS_WITH_CHANGES: u32 = 3_000;
 const AXIS: [u32; 5] = [100, 300, 1_000, 3_000, 9_000];
-/// Descriptors besides the two of each watcher.
+/// File descriptors reserved besides the two of each watcher.
 const OTHER_DESCRIPTORS: u64 = 100;
-/// Endpoints that a scoped list tells: what a client proxy calls on average, about.
-const SCOPE: u32 = 340;
+/// Endpoints in a scoped list: about as many as the services that a client proxy calls have on average.
+const SCOPE_ENDPOINTS: u32 = 340;
 /// Client proxies with the same scope: those of one service, on average.
-const SHARED_BY: u32 = 17;
-/// What names a watcher's scope. The program has nothing of the kind yet.
+const WATCHERS_PER_SCOPE: u32 = 17;
+/// The request header that selects a watcher's scope. Only this module uses it; the real client proxy does
+/// not.
 const SCOPE_HEADER: &str = "x-scope";
-/// The endpoint that changes is in every scope, so that each change concerns all.
-const CHANGES_AT: u32 = 0;
+/// The endpoint that changes. It is in every scope, so that each change concerns all watchers.
+const CHANGED_ENDPOINT: u32 = 0;
 
-/// How long a point is looked at.
+/// How long each phase of a point takes.
 #[derive(Clone, Copy)]
-struct PollTiming {
+struct PhaseTiming {
     settle: Duration,
-    rest: Duration,
-    /// Made for each form.
+    idle: Duration,
+    /// The number of changes in each encoding mode.
     changes: u32,
 }
 
-const PACE: PollTiming =
-    PollTiming { settle: Duration::from_millis(1_600), rest: Duration::from_millis(4_500), changes: 8 };
-/// After the last watcher has a change, until discovery has taken in the call that each goes on with.
-const TAKE_IN: Duration = Duration::from_millis(100);
-/// Against hanging only.
-const WITHIN: Duration = Duration::from_secs(60);
-const LOOK_EVERY: Duration = Duration::from_millis(5);
-const TICK: Duration = Duration::from_millis(10);
-/// A point does not count where the testbed's own tick was so late at rest, at the 99th percentile.
-const LATE_MOST: Duration = Duration::from_millis(50);
-/// As in the program.
-const LIST_MOST: usize = 8 * 1024 * 1024;
-const DIAL_WITHIN: Duration = Duration::from_millis(500);
-/// A pause where the system has no more descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-
-/// How answers come about.
+const TIMING: PhaseTiming =
+    PhaseTiming { settle: Duration::from_millis(1_600), idle: Duration::from_millis(4_500), changes: 8 };
+/// After the last watcher has a change, the time for discovery to accept the next poll of each.
+const NEXT_POLL_DELAY: Duration = Duration::from_millis(100);
+/// Only a safeguard against a run that hangs.
+const TIMEOUT: Duration = Duration::from_secs(60);
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+const TIMER_INTERVAL: Duration = Duration::from_millis(10);
+/// A run is invalid if the testbed's own timer was later than this while idle, at the 99th percentile.
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(50);
+/// As in the client proxy.
+const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
+const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Backoff when `accept` fails, which is usually because no file descriptors are left.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+
+/// How response bodies are made.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Form {
-    /// Each is encoded once, and shared by all whom it suits.
+enum Encoding {
+    /// Each body is encoded once and shared by all watchers that need the same one.
     Shared,
-    /// Looked up in the whole list and encoded anew for each watcher.
+    /// The full list is searched, and the body encoded, for each watcher.
     ForEach,
 }
 
-/// What is done at the other thread.
-enum Order {
-    /// Makes a change, and says when.
+/// Commands to the discovery thread.
+enum Command {
+    /// Changes an endpoint and returns the time of the change.
     Change(oneshot::Sender<Instant>),
-    Form(Form),
+    Encoding(Encoding),
     Count(oneshot::Sender<Counts>),
 }
 
-/// What discovery did since it began.
+/// Totals of the discovery thread since its start.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     cpu_us: f64,
-    calls: f64,
-    down: f64,
-    up: f64,
+    polls: f64,
+    sent_bytes: f64,
+    received_bytes: f64,
 }
 
-/// The version that is held, if any, and the scope, if the list has one.
-type Asked = (Option<u64>, Option<u32>);
+/// The watcher's current version, if any, and its scope, if it has one.
+type BodyKey = (Option<u64>, Option<u32>);
 
-/// The part of discovery that answers; all of it on one thread.
+/// The discovery server; all of it runs on one thread.
 struct Discovery {
     endpoints: u32,
-    form: Cell<Form>,
-    /// By endpoint: the version in which it last changed.
+    encoding: Cell<Encoding>,
+    /// For each endpoint, the version of its last change.
     since: RefCell<Vec<u64>>,
     newest: watch::Sender<u64>,
-    /// By what they bring from where, and for which scope; of the newest version alone.
-    encoded: RefCell<HashMap<Asked, Bytes>>,
-    calls: Cell<u64>,
-    down: Cell<u64>,
-    up: Cell<u64>,
+    /// Encoded bodies of the newest version, by the version that they start from and by scope.
+    encoded: RefCell<HashMap<BodyKey, Bytes>>,
+    polls: Cell<u64>,
+    sent_bytes: Cell<u64>,
+    received_bytes: Cell<u64>,
 }
 
 impl Discovery {
     fn new(endpoints: u32) -> Discovery {
         Discovery {
             endpoints,
-            form: Cell::new(Form::Shared),
+            encoding: Cell::new(Encoding::Shared),
             since: RefCell::new(vec![1; endpoints as usize]),
             newest: watch::Sender::new(1),
             encoded: RefCell::default(),
-            calls: Cell::new(0),
-            down: Cell::new(0),
-            up: Cell::new(0),
+            polls: Cell::new(0),
+            sent_bytes: Cell::new(0),
+            received_bytes: Cell::new(0),
         }
     }
 
     fn change(&self) {
         let next = *self.newest.borrow() + 1;
-        self.since.borrow_mut()[CHANGES_AT as usize] = next;
+        self.since.borrow_mut()[CHANGED_ENDPOINT as usize] = next;
         self.encoded.borrow_mut().clear();
         self.newest.send_replace(next);
     }
 
     fn counts(&self) -> Counts {
-        let [calls, down, up] = [&self.calls, &self.down, &self.up].map(|count| count.get() as f64);
-        Counts { cpu_us: thread_cpu_us(), calls, down, up }
+        let [polls, sent_bytes, received_bytes] =
+            [&self.polls, &self.sent_bytes, &self.received_bytes].map(|count| count.get() as f64);
+        Counts { cpu_us: thread_cpu_us(), polls, sent_bytes, received_bytes }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        self.calls.set(self.calls.get() + 1);
+    async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+        self.polls.set(self.polls.get() + 1);
         let query = request.uri().query().unwrap_or_default();
         let number = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-            pairs.find(|(known, _)| *known == name).and_then(|(_, number)| number.parse::<u64>().ok())
+            pairs.find(|(key, _)| *key == name).and_then(|(_, number)| number.parse::<u64>().ok())
         };
         let (after, wait) = (number("after"), Duration::from_millis(number("wait_ms").unwrap_or(0)));
         let scope = request.headers().get(SCOPE_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
         if let Some(after) = after.filter(|_| !wait.is_zero()) {
             let mut newest = self.newest.subscribe();
-            // Whether it has come or the wait is over shows in what there is to tell.
+            // The body shows whether a change came or the wait timed out.
             let _ = timeout(wait, newest.wait_for(|newest| *newest > after)).await;
         }
         Response::new(Full::new(self.body(after, scope)))
     }
 
     fn body(&self, after: Option<u64>, scope: Option<u32>) -> Bytes {
-        if self.form.get() == Form::ForEach {
+        if self.encoding.get() == Encoding::ForEach {
             return self.encode(after, scope);
         }
-        // What changes is in every scope, so what is new is the same for all.
+        // The endpoint that changes is in every scope, so the changes since a version are the same for all
+        // scopes.
         let scope = scope.filter(|_| after.is_none());
-        let known = self.encoded.borrow().get(&(after, scope)).cloned();
-        known.unwrap_or_else(|| {
+        let cached = self.encoded.borrow().get(&(after, scope)).cloned();
+        cached.unwrap_or_else(|| {
             let body = self.encode(after, scope);
             self.encoded.borrow_mut().insert((after, scope), body.clone());
             body
@@ -181,50 +184,53 @@
 
     fn encode(&self, after: Option<u64>, scope: Option<u32>) -> Bytes {
         let since = self.since.borrow();
-        let told = (0..self.endpoints).filter(|&endpoint| {
-            let new = after.is_none_or(|after| since[endpoint as usize] > after);
-            new && scope.is_none_or(|scope| is_in(scope, endpoint, self.endpoints))
+        let selected = (0..self.endpoints).filter(|&endpoint| {
+            let changed = after.is_none_or(|after| since[endpoint as usize] > after);
+            changed && scope.is_none_or(|scope| scope_contains(scope, endpoint, self.endpoints))
         });
-        let told: Vec<String> = told.map(|told| entry_json(told, since[told as usize], "SERVING")).collect();
-        list_json(*self.newest.borrow(), after.is_none(), &told).into()
+        let entries: Vec<String> =
+            selected.map(|endpoint| entry_json(endpoint, since[endpoint as usize], "SERVING")).collect();
+        list_json(*self.newest.borrow(), after.is_none(), &entries).into()
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_BACKOFF).await;
                 continue;
             };
-            let (discovery, stream) = (Rc::clone(&self), Metered { stream, of: Rc::clone(&self) });
+            let (discovery, stream) = (Rc::clone(&self), Metered { stream, discovery: Rc::clone(&self) });
             spawn_local(async move {
                 let service = service_fn(|request| {
                     let discovery = Rc::clone(&discovery);
-                    async move { Ok::<_, Infallible>(discovery.answer(request).await) }
+                    async move { Ok::<_, Infallible>(discovery.respond(request).await) }
                 });
-                // A caller that breaks off asks again.
+                // Connection errors need no handling: the watcher reconnects.
                 let _ = Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
     }
 }
 
-/// A scope is a row of endpoints, and the one that changes.
-fn is_in(scope: u32, endpoint: u32, all: u32) -> bool {
-    let first = (scope * SCOPE) % all;
-    endpoint == CHANGES_AT || (endpoint + all - first) % all < SCOPE - 1
+/// A scope is a contiguous range of endpoints, and the endpoint that changes.
+fn scope_contains(scope: u32, endpoint: u32, all: u32) -> bool {
+    let first = (scope * SCOPE_ENDPOINTS) % all;
+    endpoint == CHANGED_ENDPOINT || (endpoint + all - first) % all < SCOPE_ENDPOINTS - 1
 }
 
-/// A connection whose bytes are counted.
+/// A connection that counts its bytes.
 struct Metered {
     stream: TcpStream,
-    of: Rc<Discovery>,
+    discovery: Rc<Discovery>,
 }
 
 impl AsyncRead for Metered {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
-        self.of.up.set(self.of.up.get() + (buffer.filled().len() - before) as u64);
+        self.discovery
+            .received_bytes
+            .set(self.discovery.received_bytes.get() + (buffer.filled().len() - before) as u64);
         read
     }
 }
@@ -233,7 +239,7 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, bytes);
         if let Poll::Ready(Ok(written)) = written {
-            self.of.down.set(self.of.down.get() + written as u64);
+            self.discovery.sent_bytes.set(self.discovery.sent_bytes.get() + written as u64);
         }
         written
     }
@@ -247,10 +253,10 @@
     }
 }
 
-/// Discovery on its own thread, until this is dropped.
+/// A handle to the discovery thread, which ends when this is dropped.
 struct Server {
     address: SocketAddr,
-    orders: Option<mpsc::UnboundedSender<Order>>,
+    commands: Option<mpsc::UnboundedSender<Command>>,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
@@ -259,276 +265,280 @@
         let listening = Listening::bind((Ipv4Addr::LOCALHOST, 0))?;
         listening.set_nonblocking(true)?;
         let address = listening.local_addr()?;
-        let (orders, taken) = mpsc::unbounded_channel();
+        let (commands, receiver) = mpsc::unbounded_channel();
         let thread = thread::Builder::new().name("discovery".to_owned());
         let thread = thread.spawn(move || {
             let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
-            LocalSet::new().block_on(&runtime, serve(endpoints, listening, taken))
+            LocalSet::new().block_on(&runtime, serve(endpoints, listening, receiver))
         })?;
-        Ok(Server { address, orders: Some(orders), thread: Some(thread) })
+        Ok(Server { address, commands: Some(commands), thread: Some(thread) })
     }
 
-    fn order(&self, order: Order) -> Result<(), ScaleError> {
-        let orders = self.orders.as_ref().ok_or_else(gone)?;
-        orders.send(order).map_err(|_| gone())
+    fn command(&self, command: Command) -> Result<(), ScaleError> {
+        let commands = self.commands.as_ref().ok_or_else(thread_ended)?;
+        commands.send(command).map_err(|_| thread_ended())
     }
 
     async fn count(&self) -> Result<Counts, ScaleError> {
         let (reply, count) = oneshot::channel();
-        self.order(Order::Count(reply))?;
-        count.await.map_err(|_| gone())
+        self.command(Command::Count(reply))?;
+        count.await.map_err(|_| thread_ended())
     }
 
     async fn change(&self) -> Result<Instant, ScaleError> {
         let (reply, changed) = oneshot::channel();
-        self.order(Order::Change(reply))?;
-        changed.await.map_err(|_| gone())
+        self.command(Command::Change(reply))?;
+        changed.await.map_err(|_| thread_ended())
     }
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.orders = None;
-        // What went wrong there has been seen by whoever ordered something.
+        self.commands = None;
+        // An error of that thread has already made a command fail.
         self.thread.take().map(JoinHandle::join);
     }
 }
 
-fn gone() -> ScaleError {
-    ScaleError::SetUp("the stand-in of discovery has ended".to_owned())
+fn thread_ended() -> ScaleError {
+    ScaleError::SetUp("the discovery server thread has ended".to_owned())
 }
 
 async fn serve(
     endpoints: u32,
     listening: Listening,
-    mut orders: mpsc::UnboundedReceiver<Order>,
+    mut commands: mpsc::UnboundedReceiver<Command>,
 ) -> io::Result<()> {
     let discovery = Rc::new(Discovery::new(endpoints));
     let listener = TcpListener::from_std(listening)?;
     let _accepting = AbortOnDropHandle::new(spawn_local(Rc::clone(&discovery).accept(listener)));
-    while let Some(order) = orders.recv().await {
-        match order {
-            Order::Change(reply) => {
+    while let Some(command) = commands.recv().await {
+        match command {
+            Command::Change(reply) => {
                 let at = Instant::now();
                 discovery.change();
-                // Whoever asked and went has no use for it.
+                // An error means that the receiver no longer waits for the reply.
                 let _ = reply.send(at);
             }
-            Order::Form(form) => discovery.form.set(form),
-            Order::Count(reply) => drop(reply.send(discovery.counts())),
+            Command::Encoding(encoding) => discovery.encoding.set(encoding),
+            Command::Count(reply) => drop(reply.send(discovery.counts())),
         }
     }
     Ok(())
 }
 
-/// What all watchers share; one thread.
-struct Board {
-    began: Instant,
+/// State that all watchers share; they run on one thread.
+struct SharedState {
+    started: Instant,
     address: SocketAddr,
-    /// Connections are broken each time this changes.
-    breaks: watch::Sender<u32>,
-    wanted: Cell<u64>,
-    /// Of each watcher: when it first had what is wanted, and was first answered, since that was last asked.
-    reached: RefCell<Vec<Option<Instant>>>,
-    answered: RefCell<Vec<bool>>,
-    failed: Cell<u32>,
+    /// Each change of this value closes all connections.
+    disconnects: watch::Sender<u32>,
+    target_version: Cell<u64>,
+    /// For each watcher, when it first had the target version.
+    reached_at: RefCell<Vec<Option<Instant>>>,
+    /// For each watcher, whether it had a response since the last reset.
+    has_response: RefCell<Vec<bool>>,
+    failed_polls: Cell<u32>,
 }
 
-impl Board {
+impl SharedState {
     fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64() * 1e3
+        self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    fn want(&self, version: u64) {
-        self.wanted.set(version);
-        self.reached.borrow_mut().iter_mut().for_each(|reached| *reached = None);
+    fn set_target(&self, version: u64) {
+        self.target_version.set(version);
+        self.reached_at.borrow_mut().iter_mut().for_each(|reached_at| *reached_at = None);
     }
 
-    fn forget_answers(&self) {
-        self.answered.borrow_mut().iter_mut().for_each(|answered| *answered = false);
+    fn reset_responses(&self) {
+        self.has_response.borrow_mut().iter_mut().for_each(|has_response| *has_response = false);
     }
 }
 
-async fn until(what: &str, done: impl Fn() -> bool) -> Result<(), ScaleError> {
-    let looked = async {
+async fn wait_until(what: &str, done: impl Fn() -> bool) -> Result<(), ScaleError> {
+    let condition = async {
         while !done() {
-            sleep(LOOK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
         }
     };
-    let looked = timeout(WITHIN, looked).await;
-    looked.map_err(|_| ScaleError::SetUp(format!("{what}: not within {} s", WITHIN.as_secs())))
+    let result = timeout(TIMEOUT, condition).await;
+    result
+        .map_err(|_| ScaleError::SetUp(format!("timed out after {} s waiting for {what}", TIMEOUT.as_secs())))
 }
 
-/// One hollow client proxy for as long as the run lasts.
-async fn follow(
+/// Runs one control-only client proxy until the task is aborted.
+async fn run_watcher(
     number: usize,
-    mut hollow: ControlOnlyProxy,
+    mut proxy: ControlOnlyProxy,
     scope: Option<u32>,
-    mut todo: Vec<NextStep>,
-    board: Rc<Board>,
+    mut next_steps: Vec<NextStep>,
+    shared_state: Rc<SharedState>,
 ) {
-    let (mut link, mut breaks) = (None, board.breaks.subscribe());
-    let host: HeaderValue = board.address.to_string().parse().expect("an address is a header value");
-    while let Some(next) = todo.pop() {
-        let asked = match next {
+    let (mut connection, mut disconnects) = (None, shared_state.disconnects.subscribe());
+    let host: HeaderValue = shared_state.address.to_string().parse().expect("an address is a header value");
+    while let Some(next) = next_steps.pop() {
+        let sent_at = match next {
             NextStep::Timer { at, token } => {
-                sleep(Duration::from_secs_f64((at - board.now()).max(0.0) / 1e3)).await;
-                hollow.on_timer(board.now(), token, &mut todo);
+                sleep(Duration::from_secs_f64((at - shared_state.now()).max(0.0) / 1e3)).await;
+                proxy.on_timer(shared_state.now(), token, &mut next_steps);
                 continue;
             }
             NextStep::Poll { delay_ms } => {
                 if delay_ms > 0.0 {
                     sleep(Duration::from_secs_f64(delay_ms / 1e3)).await;
                 }
-                board.now()
+                shared_state.now()
             }
         };
-        let call = hollow.next_poll();
-        let mut request = list_request(host.clone(), &call.path());
+        let poll = proxy.next_poll();
+        let mut request = list_request(host.clone(), &poll.path());
         if let Some(scope) = scope {
             request.headers_mut().insert(SCOPE_HEADER, scope.into());
         }
-        let exchanged = exchange(link.take(), dial(board.address, DIAL_WITHIN), request, LIST_MOST);
-        let made = async {
+        let exchanged =
+            exchange(connection.take(), dial(shared_state.address, DIAL_TIMEOUT), request, MAX_LIST_BYTES);
+        let response = async {
             tokio::select! {
-                made = timeout(call.timeout, exchanged) => made.ok()?.ok(),
-                _ = breaks.changed() => None,
+                result = timeout(poll.timeout, exchanged) => result.ok()?.ok(),
+                _ = disconnects.changed() => None,
             }
         };
-        let Some(DiscoveryResponse { connection: kept, body, .. }) = made.await else {
-            board.failed.set(board.failed.get() + 1);
-            hollow.on_failure(board.now(), false, &mut todo);
+        let Some(DiscoveryResponse { connection: reusable, body, .. }) = response.await else {
+            shared_state.failed_polls.set(shared_state.failed_polls.get() + 1);
+            proxy.on_failure(shared_state.now(), false, &mut next_steps);
             continue;
         };
-        link = Some(kept);
-        match hollow.on_response(board.now(), asked, &body, &mut todo) {
-            Ok(held) => {
-                board.answered.borrow_mut()[number] = true;
-                if held.is_some_and(|held| held >= board.wanted.get()) {
-                    board.reached.borrow_mut()[number].get_or_insert_with(Instant::now);
+        connection = Some(reusable);
+        match proxy.on_response(shared_state.now(), sent_at, &body, &mut next_steps) {
+            Ok(version) => {
+                shared_state.has_response.borrow_mut()[number] = true;
+                if version.is_some_and(|version| version >= shared_state.target_version.get()) {
+                    shared_state.reached_at.borrow_mut()[number].get_or_insert_with(Instant::now);
                 }
             }
-            // The decisions know already.
-            Err(_) => board.failed.set(board.failed.get() + 1),
+            // `on_response` has already reported the failure to the balancer.
+            Err(_) => shared_state.failed_polls.set(shared_state.failed_polls.get() + 1),
         }
     }
 }
 
-/// What discovery knows, and what its watchers are told of it.
+/// Which part of discovery's endpoints each watcher gets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Lists {
-    /// Each is told [`SCOPE`] endpoints, and holds them.
+    /// Each watcher gets a list of [`SCOPE_ENDPOINTS`] endpoints.
     Scoped,
-    /// Each is told of all, and holds but a few from before: all of them in each of thousands is more than one machine's
-    /// memory.
+    /// Each watcher gets the changes of all endpoints, and starts with a cached list of only a few of them:
+    /// full lists in thousands of watchers do not fit into one machine's memory.
     Whole,
 }
 
 impl Lists {
     fn endpoints(self, watchers: u32) -> u32 {
         match self {
-            Lists::Scoped => (watchers.div_ceil(SHARED_BY) * SCOPE).min(ENDPOINTS),
+            Lists::Scoped => (watchers.div_ceil(WATCHERS_PER_SCOPE) * SCOPE_ENDPOINTS).min(ENDPOINTS),
             Lists::Whole => ENDPOINTS,
         }
     }
 }
 
-async fn watched(
+async fn measure_point(
     watchers: u32,
     lists: Lists,
-    pace: PollTiming,
+    timing: PhaseTiming,
     rng: &mut Pcg32,
 ) -> Result<Point, ScaleError> {
     let server = Server::start(lists.endpoints(watchers))?;
-    let all = watchers as usize;
-    let board = Rc::new(Board {
-        began: Instant::now(),
+    let count = watchers as usize;
+    let shared_state = Rc::new(SharedState {
+        started: Instant::now(),
         address: server.address,
-        breaks: watch::Sender::new(0),
-        wanted: Cell::new(1),
-        reached: RefCell::new(vec![None; all]),
-        answered: RefCell::new(vec![false; all]),
-        failed: Cell::new(0),
+        disconnects: watch::Sender::new(0),
+        target_version: Cell::new(1),
+        reached_at: RefCell::new(vec![None; count]),
+        has_response: RefCell::new(vec![false; count]),
+        failed_polls: Cell::new(0),
     });
     let from = server.count().await?;
     let mut running = Vec::new();
     for number in 0..watchers {
-        let mut hollow =
+        let mut proxy =
             ControlOnlyProxy::new(number, watchers, rng.next_u64(), PeriodicEvaluation::Disabled)?;
-        let (scope, known) = match lists {
-            Lists::Scoped => (Some(number / SHARED_BY), None),
+        let (scope, cached) = match lists {
+            Lists::Scoped => (Some(number / WATCHERS_PER_SCOPE), None),
             Lists::Whole => {
                 let few: Vec<String> = (0..9).map(|endpoint| entry_json(endpoint, 1, "SERVING")).collect();
                 (None, serde_json::from_str(&list_json(1, true, &few)).ok())
             }
         };
-        let mut todo = Vec::new();
-        // Guards against a burst that only the start of this run makes: a fleet starts over some time.
-        let begins = Duration::from_micros((chance::uniform(rng) * f64::from(watchers) * 500.0) as u64);
-        let board = Rc::clone(&board);
+        let mut next_steps = Vec::new();
+        // The starts are spread over time, as in a real fleet. Otherwise all watchers would poll in one burst
+        // that only this run has.
+        let start_delay = Duration::from_micros((chance::uniform(rng) * f64::from(watchers) * 500.0) as u64);
+        let shared_state = Rc::clone(&shared_state);
         running.push(AbortOnDropHandle::new(spawn_local(async move {
-            sleep(begins).await;
-            hollow.start(board.now(), known, &mut todo);
-            follow(number as usize, hollow, scope, todo, board).await;
+            sleep(start_delay).await;
+            proxy.start(shared_state.now(), cached, &mut next_steps);
+            run_watcher(number as usize, proxy, scope, next_steps, shared_state).await;
         })));
     }
-    let answered = || board.answered.borrow().iter().all(|answered| *answered);
-    until("a first list", answered).await?;
-    sleep(TAKE_IN).await;
-    let begun = server.count().await?;
+    let all_have_response = || shared_state.has_response.borrow().iter().all(|has_response| *has_response);
+    wait_until("the first list of each watcher", all_have_response).await?;
+    sleep(NEXT_POLL_DELAY).await;
+    let after_start = server.count().await?;
     let mut figures = vec![
-        ("start_cpu_us_watcher", (begun.cpu_us - from.cpu_us) / f64::from(watchers)),
-        ("start_bytes_watcher", (begun.down - from.down) / f64::from(watchers)),
+        ("start_cpu_us_watcher", (after_start.cpu_us - from.cpu_us) / f64::from(watchers)),
+        ("start_bytes_watcher", (after_start.sent_bytes - from.sent_bytes) / f64::from(watchers)),
     ];
 
-    sleep(pace.settle).await;
-    board.failed.set(0);
+    sleep(timing.settle).await;
+    shared_state.failed_polls.set(0);
     let from = server.count().await?;
-    let (late, passed) = rest(pace.rest).await;
-    let rest = server.count().await?;
-    let calls = (rest.calls - from.calls).max(1.0);
+    let (late, elapsed) = measure_timer_delay(timing.idle).await;
+    let idle = server.count().await?;
+    let polls = (idle.polls - from.polls).max(1.0);
     figures.extend([
-        ("calls_s", calls / passed.as_secs_f64()),
-        ("call_cpu_us", (rest.cpu_us - from.cpu_us) / calls),
-        ("call_down_bytes", (rest.down - from.down) / calls),
-        ("call_up_bytes", (rest.up - from.up) / calls),
-        ("discovery_core_share", (rest.cpu_us - from.cpu_us) / 1e6 / passed.as_secs_f64()),
+        ("calls_s", polls / elapsed.as_secs_f64()),
+        ("call_cpu_us", (idle.cpu_us - from.cpu_us) / polls),
+        ("call_down_bytes", (idle.sent_bytes - from.sent_bytes) / polls),
+        ("call_up_bytes", (idle.received_bytes - from.received_bytes) / polls),
+        ("discovery_core_share", (idle.cpu_us - from.cpu_us) / 1e6 / elapsed.as_secs_f64()),
         ("testbed_late_ms_p99", late.as_secs_f64() * 1e3),
     ]);
 
-    if watchers <= CHANGES_UP_TO {
-        figures.extend(changed(&server, &board, pace.changes, rng).await?);
+    if watchers <= MAX_WATCHERS_WITH_CHANGES {
+        figures.extend(measure_changes(&server, &shared_state, timing.changes, rng).await?);
     }
 
     let from = server.count().await?;
-    board.forget_answers();
-    board.failed.set(0);
-    board.breaks.send_modify(|breaks| *breaks += 1);
-    let began = Instant::now();
-    until("an answer after all connections broke", answered).await?;
-    figures.push(("reconnect_s_max", began.elapsed().as_secs_f64()));
-    sleep(TAKE_IN).await;
-    let back = server.count().await?;
-    figures.push(("reconnect_cpu_us", (back.cpu_us - from.cpu_us) / f64::from(watchers)));
-    // All but the break itself.
-    let failed = f64::from(board.failed.get()) - f64::from(watchers);
+    shared_state.reset_responses();
+    shared_state.failed_polls.set(0);
+    shared_state.disconnects.send_modify(|disconnects| *disconnects += 1);
+    let started = Instant::now();
+    wait_until("a response to each watcher after the disconnect", all_have_response).await?;
+    figures.push(("reconnect_s_max", started.elapsed().as_secs_f64()));
+    sleep(NEXT_POLL_DELAY).await;
+    let reconnected = server.count().await?;
+    figures.push(("reconnect_cpu_us", (reconnected.cpu_us - from.cpu_us) / f64::from(watchers)));
+    // Each watcher's poll that the disconnect interrupted is not counted.
+    let failed = f64::from(shared_state.failed_polls.get()) - f64::from(watchers);
     figures.push(("reconnect_failed_calls", failed.max(0.0)));
     let figures = figures.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
     Ok(Point { x: f64::from(watchers), figures })
 }
 
-/// Changes with answers in either form.
-async fn changed(
+/// Measures changes in both encoding modes.
+async fn measure_changes(
     server: &Server,
-    board: &Board,
+    shared_state: &SharedState,
     count: u32,
     rng: &mut Pcg32,
 ) -> Result<Vec<(&'static str, f64)>, ScaleError> {
     let mut version = 1;
-    let shared = changes(server, board, count, &mut version, rng).await?;
-    server.order(Order::Form(Form::ForEach))?;
-    let for_each = changes(server, board, count, &mut version, rng).await?;
-    server.order(Order::Form(Form::Shared))?;
+    let shared = average_change(server, shared_state, count, &mut version, rng).await?;
+    server.command(Command::Encoding(Encoding::ForEach))?;
+    let for_each = average_change(server, shared_state, count, &mut version, rng).await?;
+    server.command(Command::Encoding(Encoding::Shared))?;
     let [p50, p99, max] = shared.in_force_ms;
     Ok(vec![
         ("in_force_ms_p50", p50),
@@ -536,72 +546,85 @@
         ("in_force_ms_max", max),
         ("change_cpu_us_watcher", shared.cpu_us),
         ("change_bytes_watcher", shared.bytes),
-        ("change_watchers_core_share", shared.busy),
+        ("change_watchers_core_share", shared.watchers_core_share),
         ("for_each_in_force_ms_max", for_each.in_force_ms[2]),
         ("for_each_change_cpu_us_watcher", for_each.cpu_us),
-        ("for_each_change_watchers_core_share", for_each.busy),
-        ("change_failed_calls", f64::from(board.failed.get())),
+        ("for_each_change_watchers_core_share", for_each.watchers_core_share),
+        ("change_failed_calls", f64::from(shared_state.failed_polls.get())),
     ])
 }
 
-/// How late a tick of this thread comes, at the 99th percentile, and how long that was looked at.
-async fn rest(long: Duration) -> (Duration, Duration) {
-    let (began, mut late) = (Instant::now(), Vec::new());
-    while began.elapsed() < long {
-        let due = Instant::now() + TICK;
-        sleep(TICK).await;
+/// Returns the 99th percentile of this thread's timer delay, and how long it was measured.
+async fn measure_timer_delay(duration: Duration) -> (Duration, Duration) {
+    let (started, mut late) = (Instant::now(), Vec::new());
+    while started.elapsed() < duration {
+        let due = Instant::now() + TIMER_INTERVAL;
+        sleep(TIMER_INTERVAL).await;
         late.push(due.elapsed());
     }
     late.sort();
-    (late[late.len() * 99 / 100], began.elapsed())
+    (late[late.len() * 99 / 100], started.elapsed())
 }
 
-/// What a change came to, on average.
-struct Changed {
-    /// Over all watchers and changes: in the middle, at the 99th percentile, and the most.
+/// Average cost of a change.
+struct AverageChange {
+    /// Median, 99th percentile and maximum over all watchers and changes.
     in_force_ms: [f64; 3],
-    /// For each watcher, with what it takes to take in the call that follows.
+    /// CPU time of discovery for each watcher, with the poll that follows.
     cpu_us: f64,
+    /// Bytes sent to each watcher.
     bytes: f64,
-    /// The part of the time until the last has it in which the watchers' thread was at work.
-    busy: f64,
+    /// CPU share of the watchers' thread until the last watcher has the change.
+    watchers_core_share: f64,
 }
 
-async fn changes(
+async fn average_change(
     server: &Server,
-    board: &Board,
+    shared_state: &SharedState,
     count: u32,
     version: &mut u64,
     rng: &mut Pcg32,
-) -> Result<Changed, ScaleError> {
-    let (mut took, mut cpu_us, mut bytes) = (Vec::new(), 0.0, 0.0);
-    let (mut at_work, mut passed) = (0.0, 0.0);
+) -> Result<AverageChange, ScaleError> {
+    let (mut in_force_ms, mut cpu_us, mut bytes) = (Vec::new(), 0.0, 0.0);
+    let (mut own_cpu_us, mut elapsed_us) = (0.0, 0.0);
     for _ in 0..count {
-        // At any point of a watch's wait.
+        // At a random point of the watches' wait time.
         sleep(Duration::from_millis(200 + u64::from(rng.next_u32() % 400))).await;
         *version += 1;
-        board.want(*version);
+        shared_state.set_target(*version);
         let from = server.count().await?;
-        let own = thread_cpu_us();
+        let own_start = thread_cpu_us();
         let at = server.change().await?;
-        until("a change", || board.reached.borrow().iter().all(Option::is_some)).await?;
-        at_work += thread_cpu_us() - own;
-        passed += at.elapsed().as_secs_f64() * 1e6;
-        sleep(TAKE_IN).await;
-        let all = server.count().await?;
-        cpu_us += all.cpu_us - from.cpu_us;
-        bytes += all.down - from.down;
-        let reached = board.reached.borrow();
-        let reached = reached.iter().flatten();
-        took.extend(reached.map(|reached| reached.saturating_duration_since(at).as_secs_f64() * 1e3));
+        wait_until("a change to reach all watchers", || {
+            shared_state.reached_at.borrow().iter().all(Option::is_some)
+        })
+        .await?;
+        own_cpu_us += thread_cpu_us() - own_start;
+        elapsed_us += at.elapsed().as_secs_f64() * 1e6;
+        sleep(NEXT_POLL_DELAY).await;
+        let to = server.count().await?;
+        cpu_us += to.cpu_us - from.cpu_us;
+        bytes += to.sent_bytes - from.sent_bytes;
+        let reached_at = shared_state.reached_at.borrow();
+        let reached_at = reached_at.iter().flatten();
+        in_force_ms.extend(
+            reached_at.map(|reached_at| reached_at.saturating_duration_since(at).as_secs_f64() * 1e3),
+        );
     }
-    took.sort_by(f64::total_cmp);
-    let of = |part: f64| took[((took.len() as f64 * part).ceil() as usize).saturating_sub(1)];
-    let (in_force_ms, told) = ([0.5, 0.99, 1.0].map(of), took.len() as f64);
-    Ok(Changed { in_force_ms, cpu_us: cpu_us / told, bytes: bytes / told, busy: at_work / passed })
+    in_force_ms.sort_by(f64::total_cmp);
+    let quantile =
+        |share: f64| in_force_ms[((in_force_ms.len() as f64 * share).ceil() as usize).saturating_sub(1)];
+    let (in_force_ms, count) = ([0.5, 0.99, 1.0].map(quantile), in_force_ms.len() as f64);
+    Ok(AverageChange {
+        in_force_ms,
+        cpu_us: cpu_us / count,
+        bytes: bytes / count,
+        watchers_core_share: own_cpu_us / elapsed_us,
+    })
 }
 
-/// What discovery's own process holds for each watcher that waits. The watchers are bare sockets here, which hold nothing.
+/// Memory of the discovery server for each waiting watcher. The watchers are bare sockets here, which need no
+/// memory of this process.
 async fn memory_kb(axis: &[u32], endpoints: u32) -> Result<Vec<f64>, ScaleError> {
     let server = Server::start(endpoints)?;
     server.count().await?;
@@ -613,16 +636,16 @@
                 .write_all(b"GET /v1/endpoints?after=1&wait_ms=60000 HTTP/1.1\r\nhost: discovery\r\n\r\n")?;
             sockets.push(socket);
         }
-        let began = Instant::now();
-        while server.count().await?.calls < f64::from(watchers) && began.elapsed() < WITHIN {
-            sleep(LOOK_EVERY).await;
+        let started = Instant::now();
+        while server.count().await?.polls < f64::from(watchers) && started.elapsed() < TIMEOUT {
+            sleep(CHECK_INTERVAL).await;
         }
         memory.push((resident_memory_kb()? - before) / f64::from(watchers));
     }
     Ok(memory)
 }
 
-fn make(name: &str, lists: Lists, options: &Options) -> Result<Run, ScaleError> {
+fn run(name: &str, lists: Lists, options: &Options) -> Result<Run, ScaleError> {
     let mut rng = chance::stream(options.seed, name);
     let limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     let fits = |watchers: &&u32| 2 * u64::from(**watchers) + OTHER_DESCRIPTORS <= limit;
@@ -632,14 +655,14 @@
         let memory = memory_kb(&axis, lists.endpoints(1)).await?;
         let mut points = Vec::new();
         for (&watchers, memory) in axis.iter().zip(memory) {
-            let mut point = watched(watchers, lists, PACE, &mut rng).await?;
+            let mut point = measure_point(watchers, lists, TIMING, &mut rng).await?;
             point.figures.insert("memory_kb_watcher".to_owned(), memory);
             points.push(point);
         }
         Ok(points)
     });
     let points = points?;
-    let late = |point: &&Point| point.figures["testbed_late_ms_p99"] > LATE_MOST.as_secs_f64() * 1e3;
+    let late = |point: &&Point| point.figures["testbed_late_ms_p99"] > MAX_TIMER_DELAY.as_secs_f64() * 1e3;
     let void = points.iter().find(late).map(|point| {
         format!(
             "at {} watchers the testbed's own tick was late by {} ms",
@@ -648,7 +671,7 @@
     });
     let held = match lists {
         Lists::Scoped => format!(
-            "{SCOPE} endpoints each, one scope for {SHARED_BY} watchers; discovery knows what all scopes do"
+            "{SCOPE_ENDPOINTS} endpoints each, one scope for {WATCHERS_PER_SCOPE} watchers; discovery knows what all scopes do"
         ),
         Lists::Whole => format!(
             "9 endpoints each, from before, as all {ENDPOINTS} are too much for thousands of watchers in one process; discovery knows and tells of all"
@@ -659,12 +682,12 @@
         ("descriptors, soft limit (ulimit -n)", format!("{limit}, left as it is; each watcher takes two, both ends are in one process")),
         ("held", held),
         ("discovery", "hyper; answers encoded once and shared; for_each_*: looked up and encoded for each watcher".to_owned()),
-        ("change", format!("one endpoint that all watch, {} times for each form; CPU with the call that follows; not played with more than {CHANGES_UP_TO} watchers, as their own thread is then what a change waits for", PACE.changes)),
+        ("change", format!("one endpoint that all watch, {} times for each form; CPU with the call that follows; not played with more than {MAX_WATCHERS_WITH_CHANGES} watchers, as their own thread is then what a change waits for", TIMING.changes)),
         ("in_force", "from the change in discovery until the watcher's follower has it, with the time that the watchers' own one thread takes for the others (change_watchers_core_share: how busy that was)".to_owned()),
         ("reconnect", "all connections break at once; until each was answered again, after the pause that the decisions make".to_owned()),
         ("memory", "growth of VmRSS with bare sockets that wait, without the kernel's".to_owned()),
-        ("at rest, s", PACE.rest.as_secs_f64().to_string()),
-        ("void", format!("where the watchers' thread was late by over {} ms at rest (p99)", LATE_MOST.as_millis())),
+        ("at rest, s", TIMING.idle.as_secs_f64().to_string()),
+        ("void", format!("where the watchers' thread was late by over {} ms at rest (p99)", MAX_TIMER_DELAY.as_millis())),
     ];
     Ok(Run {
         run: name.to_owned(),
@@ -676,20 +699,20 @@
     })
 }
 
-/// The run `discovery-watchers`: each is told what it calls.
+/// The run `discovery-watchers`: each watcher gets the endpoints of its own scope.
 ///
 /// # Errors
-/// Where the system says so, or what is waited for does not come.
+/// If a system call fails, or the watchers time out.
 pub fn scoped(options: &Options) -> Result<Run, ScaleError> {
-    make("discovery-watchers", Lists::Scoped, options)
+    run("discovery-watchers", Lists::Scoped, options)
 }
 
-/// The run `discovery-watchers-whole`: each is told of the whole fleet.
+/// The run `discovery-watchers-whole`: each watcher gets the endpoints of the whole fleet.
 ///
 /// # Errors
-/// Where the system says so, or what is waited for does not come.
+/// If a system call fails, or the watchers time out.
 pub fn whole(options: &Options) -> Result<Run, ScaleError> {
-    make("discovery-watchers-whole", Lists::Whole, options)
+    run("discovery-watchers-whole", Lists::Whole, options)
 }
 
 #[cfg(test)]
