--- a/testbed/src/scale/real.rs
+++ b/testbed/src/scale/real.rs
@@ -1,5 +1,5 @@
-//! Runs with the real client proxy, a process of its own, between a lean stand-in of discovery and a load. CPU is the
-//! process's own time, so that what else runs on the machine counts only where it empties the caches.
+//! Runs with a real client proxy process between a minimal discovery server and a load. CPU is the process's
+//! own time, so other processes on the machine influence it only through the CPU caches.
 
 mod changes;
 mod endpoints;
@@ -41,23 +41,25 @@
     ("west-b", "west"),
 ];
 pub(super) const KINDS: [&str; 3] = ["m1", "m2", "m3"];
-/// Where order servers listen, each at an address of its own.
+/// Port of the order servers, each of which has its own address.
 const PORT: u16 = 9000;
-/// From ready until anything is measured.
+/// Time from readiness until the measurement.
 const SETTLE: Duration = Duration::from_secs(2);
-/// How late the testbed's own threads may be, at the 99th percentile, for a run to count. Its timers go by steps of 1 ms.
-const LATE_MOST_MS: f64 = 10.0;
+/// The timer delay of the testbed's own threads, at the 99th percentile, above which a run is invalid. The
+/// timers have a resolution of 1 ms.
+const MAX_TIMER_DELAY_MS: f64 = 10.0;
 
 pub(super) type Figures = BTreeMap<String, f64>;
 
-/// The address of a process: the machine by its number, and how many processes it had before.
-pub(super) fn place(number: usize, process: usize, port: u16) -> SocketAddrV4 {
+/// The address of an endpoint's process: the endpoint by its number, and the number of its earlier processes.
+/// The latter wraps after 60.
+pub(super) fn endpoint_address(number: usize, process: usize, port: u16) -> SocketAddrV4 {
     let [_, _, high, low] = (number as u32).to_be_bytes();
     SocketAddrV4::new(Ipv4Addr::new(127, 1 + (process % 60) as u8, high, low), port)
 }
 
-/// The same for the endpoint that is watched, whose addresses do not come back.
-fn watched_place(process: usize, port: u16) -> SocketAddrV4 {
+/// The address of the observed endpoint's process. It is never reused.
+fn observed_address(process: usize, port: u16) -> SocketAddrV4 {
     let [_, _, high, low] = (process as u32).to_be_bytes();
     SocketAddrV4::new(Ipv4Addr::new(127, 128, high, low), port)
 }
@@ -66,12 +68,12 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// A list of that length. All have run for an hour to a week.
+/// A list of this length. Its processes have run for an hour to a week.
 fn endpoints(count: usize, port: u16, rng: &mut Pcg32) -> Vec<Endpoint> {
     let now = now_ms();
     let endpoint = |number: usize| Endpoint {
         number: number as u32,
-        address: place(number, 0, port),
+        address: endpoint_address(number, 0, port),
         zone: ZONES[number % ZONES.len()].0.to_owned(),
         kind: KINDS[number / ZONES.len() % KINDS.len()],
         since_ms: now - 3_600_000 - (uniform(rng) * 600_000_000.0) as u64,
@@ -79,7 +81,7 @@
     (0..count).map(endpoint).collect()
 }
 
-/// What the client proxy is told: as many client proxies as order servers, and its number by chance.
+/// The client proxy's configuration: as many client proxies as endpoints, and a random number of its own.
 fn config(listing: &Listing, count: usize, rng: &mut Pcg32) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": listing.address.to_string(),
@@ -100,8 +102,8 @@
     })
 }
 
-/// The second configuration file: the own zone and the regions.
-fn parts() -> String {
+/// The second configuration file: its own zone and the regions.
+fn fleet_config() -> String {
     let regions: Vec<String> = ZONES.iter().map(|(zone, region)| format!("{zone} = \"{region}\"")).collect();
     format!("[zones]\nown = \"{}\"\nregions = {{ {} }}\n", ZONES[0].0, regions.join(", "))
 }
@@ -125,27 +127,28 @@
     always.iter().chain(more).map(|(name, text)| ((*name).to_owned(), (*text).to_owned())).collect()
 }
 
-/// Figures of a point, from names.
+/// The figures of a point.
 pub(super) fn figures<'a>(named: impl IntoIterator<Item = (&'a str, f64)>) -> Figures {
     named.into_iter().map(|(name, figure)| (name.to_owned(), figure)).collect()
 }
 
-/// A run of points that are each made anew; void where the testbed was late at one of them.
-pub(super) fn made(
+/// Executes a run whose points are measured independently. It is void if the testbed was delayed at one of
+/// them.
+pub(super) fn run_points(
     name: &str,
     axis: &str,
     options: &Options,
     fixed: BTreeMap<String, String>,
     axis_points: &[f64],
-    mut point: impl FnMut(f64, &mut Pcg32) -> Result<Figures, ScaleError>,
+    mut measure: impl FnMut(f64, &mut Pcg32) -> Result<Figures, ScaleError>,
 ) -> Result<Run, ScaleError> {
     let mut rng = stream(options.seed, name);
     let (mut points, mut void) = (Vec::new(), None);
     for &x in axis_points {
-        let figures = point(x, &mut rng)?;
-        let late = figures.get("late_ms_p99").copied().unwrap_or(0.0);
-        if late > LATE_MOST_MS {
-            void = Some(format!("at {x}: the testbed was {late:.1} ms late at the 99th percentile"));
+        let figures = measure(x, &mut rng)?;
+        let delay_ms = figures.get("late_ms_p99").copied().unwrap_or(0.0);
+        if delay_ms > MAX_TIMER_DELAY_MS {
+            void = Some(format!("at {x}: the testbed was {delay_ms:.1} ms late at the 99th percentile"));
         }
         eprintln!("{name} {x}: {figures:?}");
         points.push(Point { x, figures });
@@ -153,90 +156,101 @@
     Ok(Run { run: name.to_owned(), axis: axis.to_owned(), seed: options.seed, void, fixed, points })
 }
 
-/// A client proxy with a load, between order servers and a list of them.
-struct Loaded {
+/// A client proxy under load, with its order servers and its discovery.
+struct LoadedProxy {
     listing: Listing,
     servers: Servers,
     clients: Clients,
     process: Process,
-    /// What it used without changes, as a share of a core.
-    quiet: f64,
-    moves: usize,
+    /// CPU use without changes, as a share of a core.
+    quiet_core_share: f64,
+    change_count: usize,
 }
 
-/// What a loaded client proxy begins with.
-struct Shape {
+/// The list and the load of a client proxy.
+struct LoadOptions {
     endpoints: usize,
-    /// All but the first endpoint are in other zones than the client proxy, so that every request is for that one.
-    one_near: bool,
-    per_second: f64,
-    /// How long it is looked at without changes.
-    quiet: Duration,
+    /// All but the first endpoint are in other zones than the client proxy, so that each request goes to the
+    /// first one.
+    single_local_endpoint: bool,
+    requests_per_second: f64,
+    /// How long it is measured without changes.
+    quiet_period: Duration,
 }
 
-/// One change, and what shows that it is in force.
+/// A change of the observed endpoint's address. It is in force once requests arrive at the new address.
 #[derive(Clone, Copy)]
-struct Move {
+struct AddressChange {
     at: Instant,
     from: Ipv4Addr,
     to: Ipv4Addr,
 }
 
-impl Loaded {
-    fn start(options: &Options, shape: &Shape, rng: &mut Pcg32) -> Result<Loaded, ScaleError> {
+impl LoadedProxy {
+    fn start(
+        options: &Options,
+        load_options: &LoadOptions,
+        rng: &mut Pcg32,
+    ) -> Result<LoadedProxy, ScaleError> {
         let servers = Servers::open()?;
-        let mut list = endpoints(shape.endpoints, servers.port, rng);
-        if shape.one_near {
+        let mut list = endpoints(load_options.endpoints, servers.port, rng);
+        if load_options.single_local_endpoint {
             let elsewhere = ZONES.iter().skip(1).cycle().map(|(zone, _)| (*zone).to_owned());
             list.iter_mut().skip(1).zip(elsewhere).for_each(|(endpoint, zone)| endpoint.zone = zone);
         }
         let listing = Listing::open(list)?;
-        let config = config(&listing, shape.endpoints, rng);
-        let process = Process::start(&options.binary, &options.dir, &config, &parts())?;
-        let clients = Clients::start(process.address, shape.per_second, stream(options.seed, "clients"));
+        let config = config(&listing, load_options.endpoints, rng);
+        let process = Process::start(&options.binary, &options.dir, &config, &fleet_config())?;
+        let clients = Clients::start(
+            process.address,
+            load_options.requests_per_second,
+            stream(options.seed, "clients"),
+        );
         sleep(SETTLE);
-        let mut loaded = Loaded { listing, servers, clients, process, quiet: 0.0, moves: 0 };
-        loaded.forget();
+        let mut loaded =
+            LoadedProxy { listing, servers, clients, process, quiet_core_share: 0.0, change_count: 0 };
+        loaded.reset_counts();
         let (from, cpu) = (Instant::now(), loaded.process.cpu()?);
-        sleep(shape.quiet);
-        loaded.quiet = (loaded.process.cpu()? - cpu).as_secs_f64() / from.elapsed().as_secs_f64();
+        sleep(load_options.quiet_period);
+        loaded.quiet_core_share = (loaded.process.cpu()? - cpu).as_secs_f64() / from.elapsed().as_secs_f64();
         Ok(loaded)
     }
 
-    /// What was counted by now does not count.
-    fn forget(&self) {
-        self.listing.late.take_ms();
-        self.servers.late.take_ms();
+    /// Discards all counts so far.
+    fn reset_counts(&self) {
+        self.listing.timer_delay.take_ms();
+        self.servers.timer_delay.take_ms();
         self.servers.take();
         self.clients.take();
     }
 
-    /// Gives these endpoints a new process each, as one change. That of the first one has run for as long as the old one,
-    /// so that a slow start does not hide when the change is in force. Where that one is.
-    fn replace(&mut self, numbers: &[usize]) -> Move {
-        self.moves += 1;
+    /// Replaces the processes of these endpoints in one change. Returns the address change of endpoint 0 (the
+    /// observed one), which keeps its start time: slow start would otherwise delay its first request.
+    fn replace(&mut self, numbers: &[usize]) -> AddressChange {
+        self.change_count += 1;
         let (now, port) = (now_ms(), self.servers.port);
-        let mut moved = [Ipv4Addr::LOCALHOST; 2];
+        let mut addresses = [Ipv4Addr::LOCALHOST; 2];
         let at = self.listing.change(numbers, |endpoint| {
             if endpoint.number == 0 {
                 let from = *endpoint.address.ip();
-                endpoint.address = watched_place(self.moves, port);
-                moved = [from, *endpoint.address.ip()];
+                endpoint.address = observed_address(self.change_count, port);
+                addresses = [from, *endpoint.address.ip()];
             } else {
-                endpoint.address = place(endpoint.number as usize, self.moves, port);
+                endpoint.address = endpoint_address(endpoint.number as usize, self.change_count, port);
                 endpoint.since_ms = now;
             }
         });
-        let [from, to] = moved;
-        Move { at, from, to }
+        let [from, to] = addresses;
+        AddressChange { at, from, to }
     }
 
-    /// How late the testbed was, in milliseconds, and the part of the requests that was not served.
-    fn testbed(&self) -> [(&'static str, f64); 3] {
-        let asked = self.clients.take();
-        let late = asked.late.value_at_quantile(0.99) as f64 / 1e3;
-        let late = late.max(self.listing.late.take_ms()).max(self.servers.late.take_ms());
-        let all = (asked.latency.len() + asked.unserved).max(1) as f64;
-        [("late_ms_p99", late), ("requests", all), ("unserved_share", asked.unserved as f64 / all)]
+    /// Figures of the testbed's timer delay and of unserved requests.
+    fn validity_figures(&self) -> [(&'static str, f64); 3] {
+        let stats = self.clients.take();
+        let delay_ms = stats.send_delay_us.value_at_quantile(0.99) as f64 / 1e3;
+        let delay_ms =
+            delay_ms.max(self.listing.timer_delay.take_ms()).max(self.servers.timer_delay.take_ms());
+        let all = (stats.latency_us.len() + stats.unserved).max(1) as f64;
+        [("late_ms_p99", delay_ms), ("requests", all), ("unserved_share", stats.unserved as f64 / all)]
     }
 }
--- a/testbed/src/scale/real/late.rs
+++ b/testbed/src/scale/real/late.rs
@@ -1,4 +1,4 @@
-//! How late a thread of the testbed is: a figure that a stand-in took while it was late itself is none.
+//! Timer delay of a testbed thread. Figures are invalid if the thread that measures them was delayed itself.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -8,35 +8,35 @@
 
 use crate::ledger::microseconds;
 
-/// How often it is looked.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How much later than due its timers came, in microseconds. One millisecond of it is the timer's own step.
+/// Histogram of how much later than due the thread's timers fired, in microseconds. Up to one millisecond of
+/// it is the timer's resolution.
 #[derive(Clone)]
-pub struct Late(Arc<Mutex<Histogram<u64>>>);
+pub struct TimerDelay(Arc<Mutex<Histogram<u64>>>);
 
-impl Default for Late {
-    fn default() -> Late {
-        Late(Arc::new(Mutex::new(microseconds())))
+impl Default for TimerDelay {
+    fn default() -> TimerDelay {
+        TimerDelay(Arc::new(Mutex::new(microseconds())))
     }
 }
 
-impl Late {
-    /// Looks for as long as the thread runs.
-    pub async fn follow(self) {
+impl TimerDelay {
+    /// Measures for as long as the thread runs.
+    pub async fn measure(self) {
         loop {
-            let due = Instant::now() + LOOK_EVERY;
+            let due = Instant::now() + CHECK_INTERVAL;
             sleep_until(due).await;
-            let late = due.elapsed().as_micros() as u64;
-            self.0.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(late);
+            let delay_us = due.elapsed().as_micros() as u64;
+            self.0.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(delay_us);
         }
     }
 
-    /// The 99th percentile since this was last asked, in milliseconds.
+    /// Takes the 99th percentile since the last call, in milliseconds.
     pub fn take_ms(&self) -> f64 {
-        let mut seen = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let late = seen.value_at_quantile(0.99) as f64 / 1e3;
-        seen.reset();
-        late
+        let mut delays_us = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let p99_ms = delays_us.value_at_quantile(0.99) as f64 / 1e3;
+        delays_us.reset();
+        p99_ms
     }
 }
--- a/testbed/src/scale/real/latency.rs
+++ b/testbed/src/scale/real/latency.rs
@@ -1,4 +1,4 @@
-//! What a client proxy adds to a call, with control going on beside and without.
+//! The latency that a client proxy adds to a request, with and without concurrent list changes.
 
 use std::net::SocketAddr;
 use std::thread::sleep;
@@ -9,26 +9,28 @@
 use rand_pcg::Pcg32;
 
 use super::load::Clients;
-use super::{Figures, Loaded, Shape, figures, fixed, made, place};
+use super::{Figures, LoadOptions, LoadedProxy, endpoint_address, figures, fixed, run_points};
 use crate::chance::stream;
 use crate::scale::{Options, Point, Run, ScaleError};
 
 const ENDPOINTS: usize = 340;
-/// Calls a second: of the mean client, up to ten times that.
+/// Requests per second: from that of the average client to ten times as many.
 const RATES: [f64; 4] = [139.0, 350.0, 700.0, 1_390.0];
-/// With changes, and as long without.
-const LASTS: Duration = Duration::from_secs(15);
-/// Calls a second straight to an order server, all the time: what the testbed and the machine take by themselves.
-const DIRECT: f64 = 50.0;
-/// Where the testbed alone takes longer at the 99th percentile, nothing can be said of a client proxy's 1.6 ms.
-const DIRECT_MOST_US: f64 = 1_600.0;
+/// Duration of the measurement without changes, and again with changes.
+const PERIOD: Duration = Duration::from_secs(15);
+/// Requests per second directly to an order server during the run, which measure the latency of the testbed
+/// itself.
+const DIRECT_RATE: f64 = 50.0;
+/// If the direct latency is higher at the 99th percentile, the run cannot show whether the client proxy
+/// keeps to its 1.6 ms, so the run is void.
+const MAX_DIRECT_LATENCY_US: f64 = 1_600.0;
 const WARM_UP: Duration = Duration::from_secs(1);
-const CHANGE_EVERY: Duration = Duration::from_secs(1);
+const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What it adds by calls a second.
+/// The run `client-latency`: the added latency by requests per second.
 ///
 /// # Errors
-/// Where it cannot be set up.
+/// If the run cannot be set up.
 pub fn client_latency(options: &Options) -> Result<Run, ScaleError> {
     let fixed = fixed(&[
         (
@@ -46,14 +48,16 @@
         ),
         ("void_here", "also where direct_us is over 1.6 ms at the 99th percentile"),
     ]);
-    let mut run = made("client-latency", "calls a second", options, fixed, &RATES, |x, rng| {
-        latency_point(options, x, LASTS, rng)
+    let mut run = run_points("client-latency", "calls a second", options, fixed, &RATES, |x, rng| {
+        latency_point(options, x, PERIOD, rng)
     })?;
-    let alone = ["direct_us_p99", "direct_us_p99_quiet"];
-    let slow = |point: &Point| {
-        alone.iter().any(|name| point.figures.get(*name).is_some_and(|us| *us > DIRECT_MOST_US))
+    let direct_figures = ["direct_us_p99", "direct_us_p99_quiet"];
+    let is_slow = |point: &Point| {
+        direct_figures
+            .iter()
+            .any(|name| point.figures.get(*name).is_some_and(|us| *us > MAX_DIRECT_LATENCY_US))
     };
-    if let Some(point) = run.points.iter().find(|point| slow(point)) {
+    if let Some(point) = run.points.iter().find(|point| is_slow(point)) {
         run.void =
             Some(format!("at {}: the testbed alone takes over 1.6 ms at the 99th percentile", point.x));
     }
@@ -63,51 +67,59 @@
 pub(super) fn latency_point(
     options: &Options,
     rate: f64,
-    lasts: Duration,
+    period: Duration,
     rng: &mut Pcg32,
 ) -> Result<Figures, ScaleError> {
-    let shape = Shape { endpoints: ENDPOINTS, one_near: false, per_second: rate, quiet: Duration::ZERO };
-    let mut loaded = Loaded::start(options, &shape, rng)?;
-    let straight = SocketAddr::V4(place(0, 0, loaded.servers.port));
-    let direct = Clients::start(straight, DIRECT, stream(options.seed, "direct"));
+    let load_options = LoadOptions {
+        endpoints: ENDPOINTS,
+        single_local_endpoint: false,
+        requests_per_second: rate,
+        quiet_period: Duration::ZERO,
+    };
+    let mut loaded = LoadedProxy::start(options, &load_options, rng)?;
+    let server_address = SocketAddr::V4(endpoint_address(0, 0, loaded.servers.port));
+    let direct = Clients::start(server_address, DIRECT_RATE, stream(options.seed, "direct"));
     sleep(WARM_UP);
     direct.take();
-    loaded.forget();
+    loaded.reset_counts();
     let (from, cpu) = (Instant::now(), loaded.process.cpu()?);
-    sleep(lasts);
-    let (quiet_lasted, quiet_cpu) = (from.elapsed().as_secs_f64(), loaded.process.cpu()? - cpu);
+    sleep(period);
+    let (quiet_s, quiet_cpu) = (from.elapsed().as_secs_f64(), loaded.process.cpu()? - cpu);
     let (quiet, direct_quiet) = (loaded.clients.take(), direct.take());
 
     let (from, cpu, mut nth) = (Instant::now(), loaded.process.cpu()?, 0);
-    while from.elapsed() < lasts {
-        loaded.replace(&[1 + rng.next_u32() as usize % (shape.endpoints - 1)]);
+    while from.elapsed() < period {
+        loaded.replace(&[1 + rng.next_u32() as usize % (load_options.endpoints - 1)]);
         nth += 1;
-        sleep((from + (CHANGE_EVERY * nth).min(lasts)).saturating_duration_since(Instant::now()));
+        sleep((from + (CHANGE_INTERVAL * nth).min(period)).saturating_duration_since(Instant::now()));
     }
-    let (lasted, cpu) = (from.elapsed().as_secs_f64(), loaded.process.cpu()? - cpu);
-    let (busy, direct) = (loaded.clients.take(), direct.take());
+    let (changing_s, cpu) = (from.elapsed().as_secs_f64(), loaded.process.cpu()? - cpu);
+    let (changing, direct) = (loaded.clients.take(), direct.take());
 
-    let us = |of: &Histogram<u64>, quantile| of.value_at_quantile(quantile) as f64;
-    let late = us(&busy.late, 0.99).max(us(&quiet.late, 0.99)) / 1e3;
-    let late = late.max(loaded.listing.late.take_ms()).max(loaded.servers.late.take_ms());
-    let (served, quiet_served) = (busy.latency.len().max(1) as f64, quiet.latency.len().max(1) as f64);
+    let quantile_us = |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile) as f64;
+    let delay_ms =
+        quantile_us(&changing.send_delay_us, 0.99).max(quantile_us(&quiet.send_delay_us, 0.99)) / 1e3;
+    let delay_ms =
+        delay_ms.max(loaded.listing.timer_delay.take_ms()).max(loaded.servers.timer_delay.take_ms());
+    let (served, quiet_served) =
+        (changing.latency_us.len().max(1) as f64, quiet.latency_us.len().max(1) as f64);
     Ok(figures([
-        ("added_us_p50", us(&busy.latency, 0.5)),
-        ("added_us_p99", us(&busy.latency, 0.99)),
-        ("added_us_p50_quiet", us(&quiet.latency, 0.5)),
-        ("added_us_p99_quiet", us(&quiet.latency, 0.99)),
-        ("direct_us_p50", us(&direct.latency, 0.5)),
-        ("direct_us_p99", us(&direct.latency, 0.99)),
-        ("direct_us_p50_quiet", us(&direct_quiet.latency, 0.5)),
-        ("direct_us_p99_quiet", us(&direct_quiet.latency, 0.99)),
-        ("core_share", cpu.as_secs_f64() / lasted),
-        ("core_share_quiet", quiet_cpu.as_secs_f64() / quiet_lasted),
+        ("added_us_p50", quantile_us(&changing.latency_us, 0.5)),
+        ("added_us_p99", quantile_us(&changing.latency_us, 0.99)),
+        ("added_us_p50_quiet", quantile_us(&quiet.latency_us, 0.5)),
+        ("added_us_p99_quiet", quantile_us(&quiet.latency_us, 0.99)),
+        ("direct_us_p50", quantile_us(&direct.latency_us, 0.5)),
+        ("direct_us_p99", quantile_us(&direct.latency_us, 0.99)),
+        ("direct_us_p50_quiet", quantile_us(&direct_quiet.latency_us, 0.5)),
+        ("direct_us_p99_quiet", quantile_us(&direct_quiet.latency_us, 0.99)),
+        ("core_share", cpu.as_secs_f64() / changing_s),
+        ("core_share_quiet", quiet_cpu.as_secs_f64() / quiet_s),
         ("cpu_us_request", cpu.as_secs_f64() * 1e6 / served),
         ("cpu_us_request_quiet", quiet_cpu.as_secs_f64() * 1e6 / quiet_served),
         ("requests", served),
         ("requests_quiet", quiet_served),
-        ("unserved", (busy.unserved + quiet.unserved) as f64),
+        ("unserved", (changing.unserved + quiet.unserved) as f64),
         ("memory_mb", loaded.process.status("VmRSS")?),
-        ("late_ms_p99", late),
+        ("late_ms_p99", delay_ms),
     ]))
 }
--- a/testbed/src/scale/real/listing.rs
+++ b/testbed/src/scale/real/listing.rs
@@ -1,5 +1,6 @@
-//! A lean stand-in of discovery: one long list whose answers are made ahead, watches, and what goes over the wire. It
-//! has a thread of its own, so that whoever measures may wait. The protocol's faults are `crate::discovery`'s.
+//! A minimal discovery server: one long list with cached responses, watches, and counts of the bytes on the
+//! wire. It has its own thread, so that the measuring thread may block. Faults of the protocol are simulated
+//! in `crate::discovery`.
 
 use std::convert::Infallible;
 use std::io;
@@ -22,22 +23,22 @@
 use tokio::time::timeout;
 use tokio_util::io::{InspectReader, InspectWriter};
 
-use super::late::Late;
+use super::late::TimerDelay;
 use crate::saturate::on_a_thread;
 
-/// A watch waits no longer than this, as the protocol has it.
-const WAIT_MOST: Duration = Duration::from_secs(60);
+/// The protocol's upper limit for the wait of a watch.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// One line of the list.
+/// An entry of the list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Stands for its name.
+    /// Number from which its name is made.
     pub number: u32,
-    /// Where its process listens.
+    /// The address that its process listens on.
     pub address: SocketAddrV4,
-    /// By name.
+    /// Name of its zone.
     pub zone: String,
-    /// Likewise.
+    /// Name of its kind.
     pub kind: &'static str,
     /// When its process started, in Unix milliseconds.
     pub since_ms: u64,
@@ -57,155 +58,156 @@
     }
 }
 
-struct Line {
+struct ListEntry {
     endpoint: Endpoint,
     name: String,
     json: String,
-    /// The version that it came with.
+    /// The version of its last change.
     version: u64,
 }
 
 struct State {
-    lines: Vec<Line>,
+    entries: Vec<ListEntry>,
     version: u64,
-    /// The answer to a call for all of it; made anew after a change.
-    whole: Option<Bytes>,
+    /// The encoded full snapshot; cleared by a change.
+    snapshot: Option<Bytes>,
 }
 
 impl State {
-    fn whole(&mut self) -> Bytes {
-        let State { lines, version, whole } = self;
-        whole.get_or_insert_with(|| list(*version, true, lines.iter())).clone()
+    fn snapshot(&mut self) -> Bytes {
+        let State { entries, version, snapshot } = self;
+        snapshot.get_or_insert_with(|| list(*version, true, entries.iter())).clone()
     }
 
-    fn after(&self, known: u64) -> Bytes {
-        list(self.version, false, self.lines.iter().filter(|line| line.version > known))
+    fn changes_since(&self, version: u64) -> Bytes {
+        list(self.version, false, self.entries.iter().filter(|entry| entry.version > version))
     }
 }
 
-fn list<'a>(version: u64, whole: bool, lines: impl Iterator<Item = &'a Line>) -> Bytes {
-    let lines: Vec<&str> = lines.map(|line| line.json.as_str()).collect();
-    format!(r#"{{"index":{version},"snapshot":{whole},"endpoints":[{}]}}"#, lines.join(",")).into()
+fn list<'a>(version: u64, full_snapshot: bool, entries: impl Iterator<Item = &'a ListEntry>) -> Bytes {
+    let entries: Vec<&str> = entries.map(|entry| entry.json.as_str()).collect();
+    format!(r#"{{"index":{version},"snapshot":{full_snapshot},"endpoints":[{}]}}"#, entries.join(",")).into()
 }
 
-/// What went over all connections since the start, HTTP heads included, TCP's and IP's not.
+/// Traffic of all connections since the start. Bytes include HTTP heads, but no TCP and IP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Traffic {
-    /// Calls that came whole.
-    pub calls: u64,
-    /// Connections that were made.
+    /// Polls whose head was received.
+    pub polls: u64,
+    /// Accepted connections.
     pub connections: u64,
-    /// Bytes from the client proxy.
+    /// Bytes received from the client proxy.
     pub up_bytes: u64,
-    /// Bytes to it.
+    /// Bytes sent to the client proxy.
     pub down_bytes: u64,
-    /// Answers to watches that had something to tell.
-    pub told: u64,
+    /// Responses to watches that reported a change.
+    pub change_responses: u64,
 }
 
 #[derive(Default)]
 struct Counters {
-    calls: AtomicU64,
+    polls: AtomicU64,
     connections: AtomicU64,
-    up: AtomicU64,
-    down: AtomicU64,
-    told: AtomicU64,
+    up_bytes: AtomicU64,
+    down_bytes: AtomicU64,
+    change_responses: AtomicU64,
 }
 
 struct Shared {
     state: Mutex<State>,
     newest: watch::Sender<u64>,
     counters: Counters,
-    asked_first: Mutex<Option<Instant>>,
+    first_poll_at: Mutex<Option<Instant>>,
 }
 
 impl Shared {
-    /// A thread that has died with the lock leaves a list that is whole all the same.
+    /// Ignores poisoning: a panic while the lock is held cannot leave an inconsistent list.
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// See the module's page.
+/// A handle to the server, which runs until the process ends.
 pub struct Listing {
-    /// Where it is called.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// How late its thread is.
-    pub late: Late,
+    /// The timer delay of its thread.
+    pub timer_delay: TimerDelay,
     shared: Arc<Shared>,
 }
 
 impl Listing {
-    /// Takes calls from now on, until the process ends.
+    /// Starts the server.
     ///
     /// # Errors
-    /// As the system says.
+    /// If the socket cannot be opened.
     pub fn open(endpoints: Vec<Endpoint>) -> io::Result<Listing> {
         Listing::open_named(endpoints, Endpoint::name)
     }
 
-    /// The same, with names of another form.
+    /// Starts the server with other endpoint names.
     ///
     /// # Errors
-    /// As the system says.
+    /// If the socket cannot be opened.
     pub fn open_named(endpoints: Vec<Endpoint>, name: impl Fn(&Endpoint) -> String) -> io::Result<Listing> {
-        let line = |endpoint: Endpoint| {
+        let entry = |endpoint: Endpoint| {
             let name = name(&endpoint);
-            Line { json: endpoint.json(&name).to_string(), endpoint, name, version: 1 }
+            ListEntry { json: endpoint.json(&name).to_string(), endpoint, name, version: 1 }
         };
-        let lines = endpoints.into_iter().map(line).collect();
-        let mut state = State { lines, version: 1, whole: None };
-        state.whole();
+        let entries = endpoints.into_iter().map(entry).collect();
+        let mut state = State { entries, version: 1, snapshot: None };
+        state.snapshot();
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
             newest: watch::Sender::new(1),
             counters: Counters::default(),
-            asked_first: Mutex::default(),
+            first_poll_at: Mutex::default(),
         });
         let listener = std::net::TcpListener::bind(("127.0.0.1", 0))?;
         listener.set_nonblocking(true)?;
-        let (address, late) = (listener.local_addr()?, Late::default());
-        let (serving, watched) = (Arc::clone(&shared), late.clone());
+        let (address, timer_delay) = (listener.local_addr()?, TimerDelay::default());
+        let (server_state, thread_delay) = (Arc::clone(&shared), timer_delay.clone());
         on_a_thread(async move {
-            spawn_local(watched.follow());
-            serve(TcpListener::from_std(listener)?, serving).await
+            spawn_local(thread_delay.measure());
+            serve(TcpListener::from_std(listener)?, server_state).await
         });
-        Ok(Listing { address, late, shared })
+        Ok(Listing { address, timer_delay, shared })
     }
 
-    /// Changes these lines, as one version. When that was.
+    /// Changes these entries in one new version. Returns the time of the change.
     pub fn change(&self, numbers: &[usize], mut change: impl FnMut(&mut Endpoint)) -> Instant {
         let mut state = self.shared.state();
         state.version += 1;
         let version = state.version;
         for &number in numbers {
-            let Some(line) = state.lines.get_mut(number) else { continue };
-            change(&mut line.endpoint);
-            (line.json, line.version) = (line.endpoint.json(&line.name).to_string(), version);
+            let Some(entry) = state.entries.get_mut(number) else { continue };
+            change(&mut entry.endpoint);
+            (entry.json, entry.version) = (entry.endpoint.json(&entry.name).to_string(), version);
         }
-        state.whole = None;
+        state.snapshot = None;
         drop(state);
         let at = Instant::now();
         self.shared.newest.send_replace(version);
         at
     }
 
-    /// How long the body of the whole list is.
-    pub fn whole_bytes(&self) -> usize {
-        self.shared.state().whole().len()
+    /// Length of the body of a full snapshot.
+    pub fn snapshot_bytes(&self) -> usize {
+        self.shared.state().snapshot().len()
     }
 
-    /// When it was first called.
-    pub fn asked_first(&self) -> Option<Instant> {
-        *self.shared.asked_first.lock().unwrap_or_else(PoisonError::into_inner)
+    /// The time of the first poll.
+    pub fn first_poll_at(&self) -> Option<Instant> {
+        *self.shared.first_poll_at.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What went over the wire by now.
+    /// The traffic since the start.
     pub fn traffic(&self) -> Traffic {
-        let Counters { calls, connections, up, down, told } = &self.shared.counters;
-        let [calls, connections, up_bytes, down_bytes, told] =
-            [calls, connections, up, down, told].map(|count| count.load(Ordering::Relaxed));
-        Traffic { calls, connections, up_bytes, down_bytes, told }
+        let Counters { polls, connections, up_bytes, down_bytes, change_responses } = &self.shared.counters;
+        let [polls, connections, up_bytes, down_bytes, change_responses] =
+            [polls, connections, up_bytes, down_bytes, change_responses]
+                .map(|count| count.load(Ordering::Relaxed));
+        Traffic { polls, connections, up_bytes, down_bytes, change_responses }
     }
 }
 
@@ -216,44 +218,45 @@
         shared.counters.connections.fetch_add(1, Ordering::Relaxed);
         let (up, down) = (Arc::clone(&shared), Arc::clone(&shared));
         let stream = InspectReader::new(stream, move |bytes: &[u8]| {
-            up.counters.up.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+            up.counters.up_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         });
         let stream = InspectWriter::new(stream, move |bytes: &[u8]| {
-            down.counters.down.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+            down.counters.down_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         });
         let shared = Arc::clone(&shared);
         spawn_local(async move {
             let service = service_fn(|request| {
                 let shared = Arc::clone(&shared);
-                async move { Ok::<_, Infallible>(answer(&request, &shared).await) }
+                async move { Ok::<_, Infallible>(respond(&request, &shared).await) }
             });
-            // A caller that breaks off asks again.
+            // Connection errors need no handling: the client proxy reconnects.
             let _ = Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-async fn answer(request: &Request<Incoming>, shared: &Shared) -> Response<Full<Bytes>> {
+async fn respond(request: &Request<Incoming>, shared: &Shared) -> Response<Full<Bytes>> {
     if request.uri().path() != "/v1/endpoints" {
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
     }
-    shared.counters.calls.fetch_add(1, Ordering::Relaxed);
-    shared.asked_first.lock().unwrap_or_else(PoisonError::into_inner).get_or_insert_with(Instant::now);
+    shared.counters.polls.fetch_add(1, Ordering::Relaxed);
+    shared.first_poll_at.lock().unwrap_or_else(PoisonError::into_inner).get_or_insert_with(Instant::now);
     let query = request.uri().query().unwrap_or_default();
     let number = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-        pairs.find(|(known, _)| *known == name).and_then(|(_, number)| number.parse::<u64>().ok())
+        pairs.find(|(key, _)| *key == name).and_then(|(_, number)| number.parse::<u64>().ok())
     };
-    let Some(after) = number("after") else { return Response::new(Full::new(shared.state().whole())) };
-    let wait = Duration::from_millis(number("wait_ms").unwrap_or(0)).min(WAIT_MOST);
+    let Some(after) = number("after") else { return Response::new(Full::new(shared.state().snapshot())) };
+    let wait = Duration::from_millis(number("wait_ms").unwrap_or(0)).min(MAX_WAIT);
     let mut newest = shared.newest.subscribe();
-    // The sender is as old as the thread; a wait that is over has nothing new to tell.
+    // The sender lives as long as this thread, so an error is always a timeout, after which there is no
+    // change.
     if matches!(timeout(wait, newest.wait_for(|version| *version > after)).await, Ok(Ok(_))) {
-        shared.counters.told.fetch_add(1, Ordering::Relaxed);
+        shared.counters.change_responses.fetch_add(1, Ordering::Relaxed);
     }
-    let body = shared.state().after(after);
+    let body = shared.state().changes_since(after);
     Response::new(Full::new(body))
 }
 
--- a/testbed/src/scale/real/load.rs
+++ b/testbed/src/scale/real/load.rs
@@ -1,5 +1,5 @@
-//! Order servers that answer at once and note what comes where, and clients that ask at a rate. Each has a thread of its
-//! own.
+//! Order servers that respond at once and record the arrivals, and clients that send at a given rate. Each
+//! has its own thread.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -22,35 +22,36 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-use super::late::Late;
+use super::late::TimerDelay;
 use crate::chance::exponential;
 use crate::ledger::{Txn, microseconds};
 use crate::saturate::{answer_at_once, connect, on_a_thread, once};
 use crate::scenario::{Class, Scope, Semantics};
 
-/// A request at an order server.
+/// The arrival of a request at an order server.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When its head was read there.
+    /// When its head was received.
     pub at: Instant,
-    /// Which of the addresses it came to.
+    /// The address that it was sent to.
     pub address: Ipv4Addr,
 }
 
-/// All order servers: one socket, which hears every address of the loopback device and of no other one.
+/// All order servers: one socket that accepts connections to each address of the loopback device, and of no
+/// other device.
 pub struct Servers {
-    /// Of all their addresses.
+    /// The port at each address.
     pub port: u16,
-    /// How late their thread is.
-    pub late: Late,
+    /// The timer delay of their thread.
+    pub timer_delay: TimerDelay,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
 }
 
 impl Servers {
-    /// Answers from now on, until the process ends.
+    /// Starts the servers, which run until the process ends.
     ///
     /// # Errors
-    /// As the system says.
+    /// If the socket cannot be opened.
     pub fn open() -> io::Result<Servers> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.bind_device(Some(b"lo"))?;
@@ -58,16 +59,17 @@
         socket.listen(1024)?;
         socket.set_nonblocking(true)?;
         let listener = std::net::TcpListener::from(socket);
-        let (port, late, arrivals) = (listener.local_addr()?.port(), Late::default(), Arc::default());
-        let (watched, noted) = (late.clone(), Arc::clone(&arrivals));
+        let (port, timer_delay, arrivals) =
+            (listener.local_addr()?.port(), TimerDelay::default(), Arc::default());
+        let (thread_delay, recorded) = (timer_delay.clone(), Arc::clone(&arrivals));
         on_a_thread(async move {
-            spawn_local(watched.follow());
-            serve(TcpListener::from_std(listener)?, noted).await
+            spawn_local(thread_delay.measure());
+            serve(TcpListener::from_std(listener)?, recorded).await
         });
-        Ok(Servers { port, late, arrivals })
+        Ok(Servers { port, timer_delay, arrivals })
     }
 
-    /// What came since this was last asked.
+    /// Takes the arrivals since the last call.
     pub fn take(&self) -> Vec<Arrival> {
         std::mem::take(&mut self.arrivals.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -85,74 +87,74 @@
                 arrivals.lock().unwrap_or_else(PoisonError::into_inner).push(arrival);
                 async move { Ok::<_, Infallible>(answer_at_once(&request)) }
             });
-            // How it ends is seen by whoever asked.
+            // Connection errors show at the client.
             let _ = Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-/// What clients counted.
-pub struct Asked {
-    /// From sent to answered, in microseconds.
-    pub latency: Histogram<u64>,
-    /// From when it was meant to be sent to when it was, in microseconds.
-    pub late: Histogram<u64>,
-    /// Requests without an order server's answer.
+/// Counts of the clients.
+pub struct ClientStats {
+    /// From sending the request to the response, in microseconds.
+    pub latency_us: Histogram<u64>,
+    /// Delay of the sending after the scheduled time, in microseconds.
+    pub send_delay_us: Histogram<u64>,
+    /// Requests without an order server's response.
     pub unserved: u64,
 }
 
-impl Default for Asked {
-    fn default() -> Asked {
-        Asked { latency: microseconds(), late: microseconds(), unserved: 0 }
+impl Default for ClientStats {
+    fn default() -> ClientStats {
+        ClientStats { latency_us: microseconds(), send_delay_us: microseconds(), unserved: 0 }
     }
 }
 
-/// Clients that ask at a rate, whatever the answers do, until this is dropped.
+/// Clients that send at a given rate, independently of the responses, until this is dropped.
 pub struct Clients {
-    asked: Arc<Mutex<Asked>>,
-    over: Arc<AtomicBool>,
+    stats: Arc<Mutex<ClientStats>>,
+    stopped: Arc<AtomicBool>,
     pacer: Option<JoinHandle<()>>,
 }
 
 impl Clients {
-    /// Asks there so many times a second, at times by chance.
+    /// Starts to send to `address`, with exponentially distributed intervals.
     pub fn start(address: SocketAddr, per_second: f64, mut rng: Pcg32) -> Clients {
-        let (asked, over) = (Arc::<Mutex<Asked>>::default(), Arc::<AtomicBool>::default());
-        let (due, asks) = mpsc::unbounded_channel();
-        let counted = Arc::clone(&asked);
-        on_a_thread(async move { spawn_local(ask(address, asks, counted)).await? });
-        let ended = Arc::clone(&over);
-        // A thread of its own, since the timers of the clients' one go by whole milliseconds.
+        let (stats, stopped) = (Arc::<Mutex<ClientStats>>::default(), Arc::<AtomicBool>::default());
+        let (schedule, scheduled) = mpsc::unbounded_channel();
+        let client_stats = Arc::clone(&stats);
+        on_a_thread(async move { spawn_local(send_requests(address, scheduled, client_stats)).await? });
+        let pacer_stopped = Arc::clone(&stopped);
+        // A separate thread, because the timers of the clients' runtime have a resolution of 1 ms.
         let pacer = thread::spawn(move || {
             let (mut at, mut txn) = (Instant::now(), rng.next_u64() as usize);
-            while !ended.load(Ordering::Relaxed) {
+            while !pacer_stopped.load(Ordering::Relaxed) {
                 at += Duration::from_secs_f64(exponential(&mut rng) / per_second);
                 thread::sleep(at.saturating_duration_since(Instant::now()));
                 txn = txn.wrapping_add(1);
-                if due.send((at, Txn(txn))).is_err() {
+                if schedule.send((at, Txn(txn))).is_err() {
                     return;
                 }
             }
         });
-        Clients { asked, over, pacer: Some(pacer) }
+        Clients { stats, stopped, pacer: Some(pacer) }
     }
 
-    /// What was counted since this was last asked.
-    pub fn take(&self) -> Asked {
-        std::mem::take(&mut self.asked.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Takes the counts since the last call.
+    pub fn take(&self) -> ClientStats {
+        std::mem::take(&mut self.stats.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
 impl Drop for Clients {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        // One that has panicked has said so.
+        self.stopped.store(true, Ordering::Relaxed);
+        // If the thread panicked, its message is already on standard error.
         let _ = self.pacer.take().map(JoinHandle::join);
     }
 }
 
 fn class() -> Class {
-    let (aim, patience) = (Duration::from_millis(300), Duration::from_secs(1));
+    let (latency_objective, client_timeout) = (Duration::from_millis(300), Duration::from_secs(1));
     Class {
         name: "kijk".to_owned(),
         semantics: Semantics::Safe,
@@ -161,29 +163,29 @@
         share: 1.0,
         work: Duration::ZERO,
         priority_weight: 1.0,
-        latency_objective: aim,
-        client_timeout: patience,
+        latency_objective,
+        client_timeout,
     }
 }
 
-async fn ask(
+async fn send_requests(
     address: SocketAddr,
-    mut asks: mpsc::UnboundedReceiver<(Instant, Txn)>,
-    asked: Arc<Mutex<Asked>>,
+    mut scheduled: mpsc::UnboundedReceiver<(Instant, Txn)>,
+    stats: Arc<Mutex<ClientStats>>,
 ) -> io::Result<()> {
     let (idle, class) = (Rc::new(RefCell::new(Vec::new())), Rc::new(class()));
-    while let Some((due, txn)) = asks.recv().await {
-        let (idle, class, asked) = (Rc::clone(&idle), Rc::clone(&class), Arc::clone(&asked));
+    while let Some((due, txn)) = scheduled.recv().await {
+        let (idle, class, stats) = (Rc::clone(&idle), Rc::clone(&class), Arc::clone(&stats));
         spawn_local(async move {
-            let kept = std::iter::from_fn(|| idle.borrow_mut().pop());
-            let kept = kept
+            let idle_connections = std::iter::from_fn(|| idle.borrow_mut().pop());
+            let idle_connection = idle_connections
                 .into_iter()
                 .find(|sender: &hyper::client::conn::http1::SendRequest<_>| !sender.is_closed());
-            let sender = match kept {
+            let sender = match idle_connection {
                 Some(sender) => Ok(sender),
                 None => connect(address).await,
             };
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             let mut served = false;
             if let Ok(mut sender) = sender {
                 served = once(&mut sender, &class, txn).await;
@@ -191,13 +193,13 @@
                     idle.borrow_mut().push(sender);
                 }
             }
-            let took = sent.elapsed().as_micros() as u64;
-            let mut asked = asked.lock().unwrap_or_else(PoisonError::into_inner);
-            asked.late.saturating_record((sent - due).as_micros() as u64);
+            let latency_us = sent_at.elapsed().as_micros() as u64;
+            let mut stats = stats.lock().unwrap_or_else(PoisonError::into_inner);
+            stats.send_delay_us.saturating_record((sent_at - due).as_micros() as u64);
             if served {
-                asked.latency.saturating_record(took);
+                stats.latency_us.saturating_record(latency_us);
             } else {
-                asked.unserved += 1;
+                stats.unserved += 1;
             }
         });
     }
--- a/testbed/src/scale/relay/cost.rs
+++ b/testbed/src/scale/relay/cost.rs
@@ -1,5 +1,5 @@
-//! What one relay costs: by its watchers, by those whom a change does not concern, by the length of the list, and by how
-//! much changes at once.
+//! The cost of one relay by number of watchers, by watchers that no change concerns, by length of the list,
+//! and by number of endpoints that change at once.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -8,17 +8,17 @@
 use rand_pcg::Pcg32;
 
 use super::super::law::{ENDPOINTS, SERVICES};
-use super::super::real::{figures, made};
+use super::super::real::{figures, run_points};
 use super::process::Relay;
 use super::watchers::Watchers;
 use super::{
-    Change, Figures, IN_FORCE_WITHIN, InForce, LOOK_EVERY, Options, ScaleError, Setting, Used, Window, fixed,
-    late, per, plans, seconds, settled,
+    CHECK_INTERVAL, Change, Environment, Figures, IN_FORCE_TIMEOUT, InForce, Options, ScaleError, Usage,
+    Window, fixed, plans, ratio, seconds, start_watchers, timer_delay_figure,
 };
 use crate::scale::Run;
 
-/// Quiet windows and windows with changes take turns, so that what else the machine does falls on both.
-const TURNS: usize = 3;
+/// Windows without and with changes alternate, so that other load on the machine affects both.
+const WINDOW_PAIRS: usize = 3;
 const WINDOW: Duration = Duration::from_millis(1_500);
 
 const CHANGE: (&str, &str) = (
@@ -27,108 +27,109 @@
      quiet ones; change_cpu is what is used more in those with changes",
 );
 
-/// A relay with watchers that have their lists.
-struct Scene<'a> {
-    setting: &'a mut Setting,
+/// A relay whose watchers have their lists.
+struct LoadedRelay<'a> {
+    environment: &'a mut Environment,
     relay: Relay,
-    /// By watcher, whose client proxy it is.
+    /// For each watcher, the service of the client proxy that it stands for.
     callers: Vec<usize>,
     watchers: Watchers,
 }
 
-impl<'a> Scene<'a> {
+impl<'a> LoadedRelay<'a> {
     fn start(
-        setting: &'a mut Setting,
+        environment: &'a mut Environment,
         callers: Vec<usize>,
         seed: u64,
         rng: &mut Pcg32,
-    ) -> Result<Scene<'a>, ScaleError> {
-        let relay = setting.relay(None, false)?;
-        let (watchers, _) = settled(&plans(&callers, &[relay.process.address], &[], rng), seed)?;
-        setting.listing.late.take_ms();
-        Ok(Scene { setting, relay, callers, watchers })
+    ) -> Result<LoadedRelay<'a>, ScaleError> {
+        let relay = environment.relay(None, false)?;
+        let (watchers, _) = start_watchers(&plans(&callers, &[relay.process.address], &[], rng), seed)?;
+        environment.listing.timer_delay.take_ms();
+        Ok(LoadedRelay { environment, relay, callers, watchers })
     }
 
-    fn used(&self) -> Result<Used, ScaleError> {
-        Used::by_now(&self.relay, &self.watchers)
+    fn usage(&self) -> Result<Usage, ScaleError> {
+        Usage::read(&self.relay, &self.watchers)
     }
 
-    /// Changes of one endpoint each, so many a second, in turns with nothing at all.
-    fn with_changes(
+    /// Measures windows with `rate` changes per second, of one endpoint each, alternating with windows
+    /// without changes.
+    fn measure_changes(
         &mut self,
         rate: f64,
-        mut which: impl FnMut(&Setting) -> usize,
+        mut choose_endpoint: impl FnMut(&Environment) -> usize,
     ) -> Result<Figures, ScaleError> {
         let (mut quiet, mut busy) = (Window::default(), Window::default());
         let mut changes = Vec::new();
-        for _ in 0..TURNS {
-            let from = self.used()?;
+        for _ in 0..WINDOW_PAIRS {
+            let from = self.usage()?;
             sleep(WINDOW);
-            let between = self.used()?;
+            let between = self.usage()?;
             quiet.add(&from, &between);
             let count = (rate * WINDOW.as_secs_f64()).round() as u32;
             for nth in 0..count {
                 sleep((between.at + WINDOW * nth / count).saturating_duration_since(Instant::now()));
-                let number = which(self.setting);
-                changes.push(self.setting.change(&[number]));
+                let number = choose_endpoint(self.environment);
+                changes.push(self.environment.change(&[number]));
             }
             sleep((between.at + WINDOW).saturating_duration_since(Instant::now()));
-            // What the last one costs is used by then.
-            sleep(LOOK_EVERY);
-            busy.add(&between, &self.used()?);
+            // The cost of the last change falls into this extra time.
+            sleep(CHECK_INTERVAL);
+            busy.add(&between, &self.usage()?);
         }
-        let seen = self.in_force(&changes);
-        let more = busy.cpu_s - quiet.share() * busy.seconds;
-        let (n, each) = (changes.len() as f64, self.callers.len() as f64);
-        let own = [
+        let in_force = self.in_force(&changes);
+        let change_cpu_s = busy.cpu_s - quiet.core_share() * busy.seconds;
+        let (change_count, watcher_count) = (changes.len() as f64, self.callers.len() as f64);
+        let own_figures = [
             ("memory_mb", self.relay.process.status("VmRSS")?),
             ("descriptors", self.relay.process.descriptors()? as f64),
-            ("idle_core_share", quiet.share()),
-            ("calls_s", quiet.calls / quiet.seconds),
-            ("call_cpu_us", per(quiet.cpu_s * 1e6, quiet.calls)),
-            ("down_bytes_s", per(quiet.down_bytes / quiet.seconds, each)),
-            ("up_bytes_s", per(quiet.up_bytes / quiet.seconds, each)),
-            ("change_cpu_us", more * 1e6 / n),
-            ("change_cpu_ms", more * 1e3 / n),
-            ("change_cpu_us_concerned", per(more * 1e6, seen.concerned as f64)),
-            ("concerned", seen.concerned as f64 / n),
-            ("changing_core_share", busy.share()),
+            ("idle_core_share", quiet.core_share()),
+            ("calls_s", quiet.polls / quiet.seconds),
+            ("call_cpu_us", ratio(quiet.cpu_s * 1e6, quiet.polls)),
+            ("down_bytes_s", ratio(quiet.down_bytes / quiet.seconds, watcher_count)),
+            ("up_bytes_s", ratio(quiet.up_bytes / quiet.seconds, watcher_count)),
+            ("change_cpu_us", change_cpu_s * 1e6 / change_count),
+            ("change_cpu_ms", change_cpu_s * 1e3 / change_count),
+            ("change_cpu_us_concerned", ratio(change_cpu_s * 1e6, in_force.concerned as f64)),
+            ("concerned", in_force.concerned as f64 / change_count),
+            ("changing_core_share", busy.core_share()),
         ];
-        Ok(figures(own.into_iter().chain(seen.figures()).chain(self.ends())))
+        Ok(figures(own_figures.into_iter().chain(in_force.figures()).chain(self.validity_figures())))
     }
 
-    /// What was seen of these changes, once all have come to whom they concern.
+    /// Waits until these changes have reached all watchers that they concern, or for [`IN_FORCE_TIMEOUT`].
     fn in_force(&self, changes: &[Change]) -> InForce {
-        let (began, mut answers) = (Instant::now(), Vec::new());
+        let (started, mut responses) = (Instant::now(), Vec::new());
         loop {
             sleep(Duration::from_millis(300));
-            answers.extend(self.watchers.take());
-            let seen = InForce::of(self.setting, changes, &self.callers, &answers, |_| true);
-            if seen.seen.len() == seen.concerned as u64 || began.elapsed() > IN_FORCE_WITHIN {
-                return seen;
+            responses.extend(self.watchers.take());
+            let in_force = InForce::of(self.environment, changes, &self.callers, &responses, |_| true);
+            if in_force.delay_us.len() == in_force.concerned as u64 || started.elapsed() > IN_FORCE_TIMEOUT {
+                return in_force;
             }
         }
     }
 
-    /// How the testbed and the calls fared.
-    fn ends(&self) -> [(&'static str, f64); 4] {
+    /// Figures of the testbed's delay and of failed polls.
+    fn validity_figures(&self) -> [(&'static str, f64); 4] {
         let totals = self.watchers.totals();
         [
-            late(self.setting, &self.watchers),
-            ("refused", totals.refused as f64),
+            timer_delay_figure(self.environment, &self.watchers),
+            ("refused", totals.status_503 as f64),
             ("failed", totals.failed as f64),
-            ("doubted", totals.doubted as f64),
+            ("doubted", totals.rejected as f64),
         ]
     }
 }
 
 const WATCHERS: [f64; 6] = [100.0, 300.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0];
-const CHANGES_A_SECOND: f64 = 20.0;
+const CHANGES_PER_SECOND: f64 = 20.0;
 
-/// A relay by its watchers.
+/// The run `relay-watchers`: the cost of a relay by number of watchers.
 ///
 /// # Errors
-/// Where it cannot be set up.
+/// If the run cannot be set up.
 pub fn by_watchers(options: &Options) -> Result<Run, ScaleError> {
     watchers_run(options, &WATCHERS, ENDPOINTS as usize)
 }
@@ -143,23 +144,23 @@
         ),
         ("call_cpu_us", "all that the relay uses in the quiet windows, by the calls that waited in vain"),
     ]);
-    made("relay-watchers", "watchers of one relay", options, fixed, axis, |x, rng| {
-        let mut setting = Setting::open(options, endpoints, rng)?;
-        let callers = setting.callers(x as usize, rng);
-        let mut scene = Scene::start(&mut setting, callers, options.seed, rng)?;
-        scene.with_changes(CHANGES_A_SECOND, |setting| setting.any(rng))
+    run_points("relay-watchers", "watchers of one relay", options, fixed, axis, |x, rng| {
+        let mut environment = Environment::open(options, endpoints, rng)?;
+        let callers = environment.callers(x as usize, rng);
+        let mut loaded = LoadedRelay::start(&mut environment, callers, options.seed, rng)?;
+        loaded.measure_changes(CHANGES_PER_SECOND, |environment| environment.random_endpoint(rng))
     })
 }
 
 const UNCONCERNED: [f64; 5] = [0.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0];
-const CONCERNED: usize = 40;
-const SCOPES: usize = 10;
-const SERVICE_CHANGES_A_SECOND: f64 = 50.0;
+const CONCERNED_WATCHERS: usize = 40;
+const CONCERNED_SCOPES: usize = 10;
+const SERVICE_CHANGES_PER_SECOND: f64 = 50.0;
 
-/// A relay by the watchers whom its changes do not concern.
+/// The run `relay-unconcerned`: the cost of a relay by number of watchers that no change concerns.
 ///
 /// # Errors
-/// Where it cannot be set up.
+/// If the run cannot be set up.
 pub fn by_unconcerned(options: &Options) -> Result<Run, ScaleError> {
     let fixed = fixed(&[
         CHANGE,
@@ -167,35 +168,39 @@
         ("concerned", "40 watchers of 10 scopes that hold the service"),
     ]);
     let axis = "watchers whom no change concerns";
-    made("relay-unconcerned", axis, options, fixed, &UNCONCERNED, |x, rng| {
-        let mut setting = Setting::open(options, ENDPOINTS as usize, rng)?;
-        let (service, calling) = loop {
+    run_points("relay-unconcerned", axis, options, fixed, &UNCONCERNED, |x, rng| {
+        let mut environment = Environment::open(options, ENDPOINTS as usize, rng)?;
+        let (service, calling_services) = loop {
             let service = rng.next_u32() as usize % SERVICES;
-            let calls = |caller: &usize| setting.fleet.calls[*caller].contains(&service);
-            let calling: Vec<usize> = (0..SERVICES).filter(calls).collect();
-            if calling.len() >= SCOPES {
-                break (service, calling);
+            let calls = |caller: &usize| environment.fleet.calls[*caller].contains(&service);
+            let calling_services: Vec<usize> = (0..SERVICES).filter(calls).collect();
+            if calling_services.len() >= CONCERNED_SCOPES {
+                break (service, calling_services);
             }
         };
-        let mut callers: Vec<usize> = (0..CONCERNED).map(|n| calling[n % SCOPES]).collect();
-        while callers.len() < CONCERNED + x as usize {
-            let drawn = setting.callers(CONCERNED + x as usize - callers.len(), rng);
-            callers.extend(drawn.iter().filter(|&caller| !calling.contains(caller)));
+        let mut callers: Vec<usize> =
+            (0..CONCERNED_WATCHERS).map(|n| calling_services[n % CONCERNED_SCOPES]).collect();
+        while callers.len() < CONCERNED_WATCHERS + x as usize {
+            let drawn = environment.callers(CONCERNED_WATCHERS + x as usize - callers.len(), rng);
+            callers.extend(drawn.iter().filter(|&caller| !calling_services.contains(caller)));
         }
-        let endpoints: Vec<usize> =
-            (0..setting.service.len()).filter(|&number| setting.service[number] == service).collect();
-        let mut scene = Scene::start(&mut setting, callers, options.seed, rng)?;
-        scene.with_changes(SERVICE_CHANGES_A_SECOND, |_| endpoints[rng.next_u32() as usize % endpoints.len()])
+        let endpoints: Vec<usize> = (0..environment.services.len())
+            .filter(|&number| environment.services[number] == service)
+            .collect();
+        let mut loaded = LoadedRelay::start(&mut environment, callers, options.seed, rng)?;
+        loaded.measure_changes(SERVICE_CHANGES_PER_SECOND, |_| {
+            endpoints[rng.next_u32() as usize % endpoints.len()]
+        })
     })
 }
 
-const LISTED: [f64; 5] = [200.0, 1_000.0, 4_000.0, 10_000.0, 36_000.0];
-const FEW: usize = 40;
+const LIST_LENGTHS: [f64; 5] = [200.0, 1_000.0, 4_000.0, 10_000.0, 36_000.0];
+const ENDPOINTS_RUN_WATCHERS: usize = 40;
 
-/// A relay by the length of the list.
+/// The run `relay-endpoints`: the cost of a relay by length of the list.
 ///
 /// # Errors
-/// Where it cannot be set up.
+/// If the run cannot be set up.
 pub fn by_endpoints(options: &Options) -> Result<Run, ScaleError> {
     let fixed = fixed(&[
         CHANGE,
@@ -204,34 +209,35 @@
         ("endpoints", "of the fleet's list every so-manieth; the scopes are those of the whole fleet"),
         ("start", "from the start of the process until a call for a scope is answered; asked every 5 ms"),
     ]);
-    made("relay-endpoints", "endpoints in the list", options, fixed, &LISTED, |x, rng| {
-        let mut setting = Setting::open(options, x as usize, rng)?;
-        let relay = setting.relay(None, false)?;
-        let start = [
-            ("start_ms", relay.start.as_secs_f64() * 1e3),
+    run_points("relay-endpoints", "endpoints in the list", options, fixed, &LIST_LENGTHS, |x, rng| {
+        let mut environment = Environment::open(options, x as usize, rng)?;
+        let relay = environment.relay(None, false)?;
+        let start_figures = [
+            ("start_ms", relay.startup_time.as_secs_f64() * 1e3),
             ("start_cpu_ms", relay.process.cpu()?.as_secs_f64() * 1e3),
             ("start_memory_mb", relay.process.status("VmRSS")?),
-            ("list_mb", setting.listing.whole_bytes() as f64 / 1e6),
+            ("list_mb", environment.listing.snapshot_bytes() as f64 / 1e6),
         ];
         drop(relay);
-        let callers = setting.callers(FEW, rng);
-        let mut scene = Scene::start(&mut setting, callers, options.seed, rng)?;
-        let mut found = scene.with_changes(CHANGES_A_SECOND, |setting| setting.any(rng))?;
-        found.extend(figures(start));
-        Ok(found)
+        let callers = environment.callers(ENDPOINTS_RUN_WATCHERS, rng);
+        let mut loaded = LoadedRelay::start(&mut environment, callers, options.seed, rng)?;
+        let mut all_figures =
+            loaded.measure_changes(CHANGES_PER_SECOND, |environment| environment.random_endpoint(rng))?;
+        all_figures.extend(figures(start_figures));
+        Ok(all_figures)
     })
 }
 
 const BURSTS: [f64; 3] = [1.0, 340.0, 4_000.0];
 const BURST_WATCHERS: usize = 2_000;
-const TIMES: usize = 4;
-/// Quiet times of this length and bursts take turns.
-const BURST_LASTS: f64 = 1.8;
+const BURST_COUNT: usize = 4;
+/// Length of the windows: one without changes before each burst, and one from the burst on.
+const BURST_WINDOW_S: f64 = 1.8;
 
-/// A relay by what changes at once.
+/// The run `relay-burst`: the cost of a relay by number of endpoints that change at once.
 ///
 /// # Errors
-/// Where it cannot be set up.
+/// If the run cannot be set up.
 pub fn burst(options: &Options) -> Result<Run, ScaleError> {
     let fixed = fixed(&[
         ("watchers_count", "2,000"),
@@ -239,47 +245,48 @@
         ("cpu_ms", "what the relay used more in the 1.8 s after a burst than in the quiet ones, by bursts"),
         ("down_bytes_watcher", "of one watcher in the 1.8 s after, with its calls that wait in vain"),
     ]);
-    made("relay-burst", "endpoints that change at once", options, fixed, &BURSTS, |x, rng| {
-        let mut setting = Setting::open(options, ENDPOINTS as usize, rng)?;
-        let callers = setting.callers(BURST_WATCHERS, rng);
-        let scene = Scene::start(&mut setting, callers, options.seed, rng)?;
+    run_points("relay-burst", "endpoints that change at once", options, fixed, &BURSTS, |x, rng| {
+        let mut environment = Environment::open(options, ENDPOINTS as usize, rng)?;
+        let callers = environment.callers(BURST_WATCHERS, rng);
+        let loaded = LoadedRelay::start(&mut environment, callers, options.seed, rng)?;
         let (mut quiet, mut busy, mut changes) = (Window::default(), Window::default(), Vec::new());
-        let (mut down, mut worst) = (0.0, 0);
-        for nth in 0..TIMES {
+        let (mut mean_bytes_sum, mut max_bytes) = (0.0, 0);
+        for nth in 0..BURST_COUNT {
             let numbers: Vec<usize> = if x as usize == 4_000 {
-                // Endpoints go round the zones.
+                // The zones repeat every 9 endpoints, so these are all in one zone.
                 (0..4_000).map(|n| n * 9 + nth % 9).collect()
             } else {
-                (0..x as usize).map(|_| scene.setting.any(rng)).collect()
+                (0..x as usize).map(|_| loaded.environment.random_endpoint(rng)).collect()
             };
-            let from = scene.used()?;
-            sleep(seconds(BURST_LASTS));
-            let before = scene.watchers.down_each();
-            quiet.add(&from, &scene.used()?);
-            let from = scene.used()?;
-            changes.push(scene.setting.change(&numbers));
-            sleep(seconds(BURST_LASTS));
-            busy.add(&from, &scene.used()?);
-            let got = scene.watchers.down_each().into_iter().zip(before).map(|(now, before)| now - before);
-            let got: Vec<u64> = got.collect();
-            worst = worst.max(got.iter().copied().max().unwrap_or(0));
-            down += got.iter().sum::<u64>() as f64 / got.len() as f64;
+            let from = loaded.usage()?;
+            sleep(seconds(BURST_WINDOW_S));
+            let before = loaded.watchers.down_bytes_each();
+            quiet.add(&from, &loaded.usage()?);
+            let from = loaded.usage()?;
+            changes.push(loaded.environment.change(&numbers));
+            sleep(seconds(BURST_WINDOW_S));
+            busy.add(&from, &loaded.usage()?);
+            let received =
+                loaded.watchers.down_bytes_each().into_iter().zip(before).map(|(now, before)| now - before);
+            let received: Vec<u64> = received.collect();
+            max_bytes = max_bytes.max(received.iter().copied().max().unwrap_or(0));
+            mean_bytes_sum += received.iter().sum::<u64>() as f64 / received.len() as f64;
         }
-        let seen = scene.in_force(&changes);
-        let n = TIMES as f64;
-        let own = [
-            ("cpu_ms", (busy.cpu_s - quiet.share() * busy.seconds) * 1e3 / n),
-            ("idle_core_share", quiet.share()),
-            ("down_bytes_watcher", down / n),
-            ("down_bytes_watcher_max", worst as f64),
+        let in_force = loaded.in_force(&changes);
+        let burst_count = BURST_COUNT as f64;
+        let own_figures = [
+            ("cpu_ms", (busy.cpu_s - quiet.core_share() * busy.seconds) * 1e3 / burst_count),
+            ("idle_core_share", quiet.core_share()),
+            ("down_bytes_watcher", mean_bytes_sum / burst_count),
+            ("down_bytes_watcher_max", max_bytes as f64),
             (
                 "quiet_down_bytes_watcher",
-                quiet.down_bytes / quiet.seconds * BURST_LASTS / BURST_WATCHERS as f64,
+                quiet.down_bytes / quiet.seconds * BURST_WINDOW_S / BURST_WATCHERS as f64,
             ),
-            ("concerned", seen.concerned as f64 / n),
-            ("memory_mb", scene.relay.process.status("VmRSS")?),
-            ("memory_peak_mb", scene.relay.process.status("VmHWM")?),
+            ("concerned", in_force.concerned as f64 / burst_count),
+            ("memory_mb", loaded.relay.process.status("VmRSS")?),
+            ("memory_peak_mb", loaded.relay.process.status("VmHWM")?),
         ];
-        Ok(figures(own.into_iter().chain(seen.figures()).chain(scene.ends())))
+        Ok(figures(own_figures.into_iter().chain(in_force.figures()).chain(loaded.validity_figures())))
     })
 }
--- a/testbed/src/scale/relay/lost.rs
+++ b/testbed/src/scale/relay/lost.rs
@@ -1,5 +1,5 @@
-//! Several relays: how a change comes through two of them, what becomes of the watchers of one that is lost, and how one
-//! serves all who come at once.
+//! Runs with several relays or many new watchers: propagation of a change through two relays, failover of the
+//! watchers of a failed relay, and a relay whose watchers all connect at once.
 
 use std::net::SocketAddr;
 use std::thread::sleep;
@@ -9,12 +9,12 @@
 use rustix::process::Signal;
 
 use super::super::law::ENDPOINTS;
-use super::super::real::{figures, made};
+use super::super::real::{figures, run_points};
 use super::process::Relay;
-use super::watchers::{Answer, Plan, Watchers};
+use super::watchers::{WatcherPlan, WatcherResponse, Watchers};
 use super::{
-    Figures, InForce, Options, ScaleError, Setting, fixed, late, ms, plans, scope_name, seconds, settled,
-    wait_until,
+    Environment, Figures, InForce, Options, ScaleError, fixed, plans, quantile_ms, scope_name, seconds,
+    start_watchers, timer_delay_figure, wait_until,
 };
 use crate::chance::{exponential, uniform};
 use crate::ledger::microseconds;
@@ -23,55 +23,56 @@
 const HOPS: [f64; 2] = [1.0, 2.0];
 const HOPS_WATCHERS: usize = 1_000;
 const HOPS_CHANGES: usize = 80;
-const HOPS_CHANGES_A_SECOND: f64 = 10.0;
+const HOPS_CHANGES_PER_SECOND: f64 = 10.0;
 
-/// When a change is in force behind one relay, and behind two.
+/// The run `relay-hops`: the time until a change is in force behind one relay, and behind two.
 ///
 /// # Errors
-/// Where it cannot be set up.
+/// If the run cannot be set up.
 pub fn hops(options: &Options) -> Result<Run, ScaleError> {
     let fixed = fixed(&[
         ("hops", "relays between discovery and a watcher; the upper one of two is asked for the whole list"),
         ("watchers_count", "1,000"),
         ("changes", "80, each of an endpoint by chance, 10 a second at times by chance"),
     ]);
-    made("relay-hops", "relays between discovery and a watcher", options, fixed, &HOPS, |x, rng| {
-        let mut setting = Setting::open(options, ENDPOINTS as usize, rng)?;
+    run_points("relay-hops", "relays between discovery and a watcher", options, fixed, &HOPS, |x, rng| {
+        let mut environment = Environment::open(options, ENDPOINTS as usize, rng)?;
         let mut chain: Vec<Relay> = Vec::new();
         for hop in 0..x as usize {
             let above = chain.last().map(|relay| relay.process.address);
             let last = hop + 1 == x as usize;
-            chain.push(setting.relay(above, !last)?);
+            chain.push(environment.relay(above, !last)?);
         }
         let near: Vec<SocketAddr> = chain.last().map(|relay| relay.process.address).into_iter().collect();
-        let callers = setting.callers(HOPS_WATCHERS, rng);
-        let (watchers, _) = settled(&plans(&callers, &near, &[], rng), options.seed)?;
-        setting.listing.late.take_ms();
+        let callers = environment.callers(HOPS_WATCHERS, rng);
+        let (watchers, _) = start_watchers(&plans(&callers, &near, &[], rng), options.seed)?;
+        environment.listing.timer_delay.take_ms();
         let mut changes = Vec::new();
         for _ in 0..HOPS_CHANGES {
-            let number = setting.any(rng);
-            changes.push(setting.change(&[number]));
-            sleep(seconds(exponential(rng) / HOPS_CHANGES_A_SECOND));
+            let number = environment.random_endpoint(rng);
+            changes.push(environment.change(&[number]));
+            sleep(seconds(exponential(rng) / HOPS_CHANGES_PER_SECOND));
         }
         sleep(Duration::from_secs(1));
-        let seen = InForce::of(&setting, &changes, &callers, &watchers.take(), |_| true);
-        Ok(figures(seen.figures().into_iter().chain([late(&setting, &watchers)])))
+        let in_force = InForce::of(&environment, &changes, &callers, &watchers.take(), |_| true);
+        Ok(figures(in_force.figures().into_iter().chain([timer_delay_figure(&environment, &watchers)])))
     })
 }
 
-/// How a relay is lost.
-const WAYS: [(&str, Signal); 3] =
+/// The ways in which a relay fails.
+const FAILURES: [(&str, Signal); 3] =
     [("killed", Signal::KILL), ("stopped", Signal::STOP), ("terminated", Signal::TERM)];
 const LOST_WATCHERS: [f64; 3] = [500.0, 2_000.0, 4_000.0];
-/// The change is made so long after the relay was lost, and is of so many endpoints.
-const CHANGED_AFTER: Duration = Duration::from_millis(100);
-const CHANGED: usize = 100;
-const LOOKED_AT: u32 = 10;
+/// Delay of the change after the relay's failure.
+const CHANGE_DELAY: Duration = Duration::from_millis(100);
+/// Endpoints that change.
+const CHANGED_ENDPOINTS: usize = 100;
+const OBSERVED_SECONDS: u32 = 10;
 
-/// What becomes of the watchers of a relay that is lost.
+/// The run `relay-lost`: the failover of the watchers of a failed relay.
 ///
 /// # Errors
-/// Where it cannot be set up.
+/// If the run cannot be set up.
 pub fn lost(options: &Options) -> Result<Run, ScaleError> {
     lost_run(options, &LOST_WATCHERS, ENDPOINTS as usize)
 }
@@ -100,106 +101,110 @@
         ("down_bytes_watcher", "in the 10 s after, of watchers of the lost relay; _max: of any watcher"),
         ("pause", "where all relays have failed in turn: by chance up to 1.5 s"),
     ]);
-    made("relay-lost", "watchers of two near relays together", options, fixed, axis, |x, rng| {
+    run_points("relay-lost", "watchers of two near relays together", options, fixed, axis, |x, rng| {
         let mut all = Figures::new();
-        for (way, signal) in WAYS {
-            let found = lose(options, x as usize, endpoints, signal, rng)?;
-            let late = found.get("late_ms_p99").copied().unwrap_or(0.0);
-            let late = all.get("late_ms_p99").map_or(late, |known: &f64| known.max(late));
+        for (way, signal) in FAILURES {
+            let found = fail_relay(options, x as usize, endpoints, signal, rng)?;
+            let delay_ms = found.get("late_ms_p99").copied().unwrap_or(0.0);
+            let delay_ms = all.get("late_ms_p99").map_or(delay_ms, |previous: &f64| previous.max(delay_ms));
             all.extend(found.into_iter().map(|(name, figure)| (format!("{name}_{way}"), figure)));
-            all.insert("late_ms_p99".to_owned(), late);
+            all.insert("late_ms_p99".to_owned(), delay_ms);
         }
         Ok(all)
     })
 }
 
-fn lose(
+fn fail_relay(
     options: &Options,
     count: usize,
     endpoints: usize,
     signal: Signal,
     rng: &mut Pcg32,
 ) -> Result<Figures, ScaleError> {
-    let mut setting = Setting::open(options, endpoints, rng)?;
-    let [gone, other, far] =
-        [setting.relay(None, false)?, setting.relay(None, false)?, setting.relay(None, false)?];
-    let near = [gone.process.address, other.process.address];
-    let callers = setting.callers(count, rng);
-    let (watchers, before) = settled(&plans(&callers, &near, &[far.process.address], rng), options.seed)?;
-    setting.listing.late.take_ms();
-    let at_gone = whose(&before, callers.len(), gone.process.address);
-    let numbers: Vec<usize> = (0..CHANGED).map(|_| setting.any(rng)).collect();
-    let (down, cpu) = (watchers.down_each(), other.process.cpu()?);
+    let mut environment = Environment::open(options, endpoints, rng)?;
+    let [failed, other, far] =
+        [environment.relay(None, false)?, environment.relay(None, false)?, environment.relay(None, false)?];
+    let near = [failed.process.address, other.process.address];
+    let callers = environment.callers(count, rng);
+    let (watchers, before) =
+        start_watchers(&plans(&callers, &near, &[far.process.address], rng), options.seed)?;
+    environment.listing.timer_delay.take_ms();
+    let at_failed = served_by(&before, callers.len(), failed.process.address);
+    let numbers: Vec<usize> = (0..CHANGED_ENDPOINTS).map(|_| environment.random_endpoint(rng)).collect();
+    let (down_before, cpu_before) = (watchers.down_bytes_each(), other.process.cpu()?);
     let at = Instant::now();
-    gone.signal(signal)?;
-    sleep(CHANGED_AFTER);
-    let change = [setting.change(&numbers)];
-    let (mut used, mut busiest) = (cpu, 0.0_f64);
-    for second in 1..=LOOKED_AT {
+    failed.signal(signal)?;
+    sleep(CHANGE_DELAY);
+    let change = [environment.change(&numbers)];
+    let (mut last_cpu, mut max_core_share) = (cpu_before, 0.0_f64);
+    for second in 1..=OBSERVED_SECONDS {
         sleep((at + Duration::from_secs(1) * second).saturating_duration_since(Instant::now()));
         let now = other.process.cpu()?;
-        busiest = busiest.max((now - used).as_secs_f64());
-        used = now;
+        max_core_share = max_core_share.max((now - last_cpu).as_secs_f64());
+        last_cpu = now;
     }
-    let answers = watchers.take();
-    let got: Vec<u64> = watchers.down_each().iter().zip(down).map(|(now, before)| now - before).collect();
-    let mut moved = microseconds();
-    let mut first: Vec<Option<Instant>> = vec![None; callers.len()];
-    for answer in answers.iter().filter(|answer| answer.relay != gone.process.address) {
-        first[answer.watcher].get_or_insert(answer.at);
+    let responses = watchers.take();
+    let received: Vec<u64> =
+        watchers.down_bytes_each().iter().zip(down_before).map(|(now, before)| now - before).collect();
+    let mut moved_us = microseconds();
+    let mut first_at: Vec<Option<Instant>> = vec![None; callers.len()];
+    for response in responses.iter().filter(|response| response.relay != failed.process.address) {
+        first_at[response.watcher].get_or_insert(response.at);
     }
-    let (mut unmoved, mut lost_count, mut lost_bytes) = (0, 0, 0);
-    for watcher in (0..callers.len()).filter(|&watcher| at_gone[watcher]) {
-        lost_count += 1;
-        lost_bytes += got[watcher];
-        match first[watcher] {
-            Some(first) => moved.saturating_record(first.saturating_duration_since(at).as_micros() as u64),
+    let (mut unmoved, mut lost_watchers, mut lost_bytes) = (0, 0, 0);
+    for watcher in (0..callers.len()).filter(|&watcher| at_failed[watcher]) {
+        lost_watchers += 1;
+        lost_bytes += received[watcher];
+        match first_at[watcher] {
+            Some(first) => moved_us.saturating_record(first.saturating_duration_since(at).as_micros() as u64),
             None => unmoved += 1,
         }
     }
-    let last_at_far = whose(&answers, callers.len(), far.process.address);
-    let to_far = (0..callers.len()).filter(|&watcher| at_gone[watcher] && last_at_far[watcher]).count();
-    let of_lost = InForce::of(&setting, &change, &callers, &answers, |watcher| at_gone[watcher]);
-    let seen = InForce::of(&setting, &change, &callers, &answers, |_| true);
+    let last_at_far = served_by(&responses, callers.len(), far.process.address);
+    let to_far = (0..callers.len()).filter(|&watcher| at_failed[watcher] && last_at_far[watcher]).count();
+    let in_force_lost =
+        InForce::of(&environment, &change, &callers, &responses, |watcher| at_failed[watcher]);
+    let in_force = InForce::of(&environment, &change, &callers, &responses, |_| true);
     let totals = watchers.totals();
-    let own = [
-        ("lost", f64::from(lost_count)),
-        ("moved_ms_p50", ms(&moved, 0.5)),
-        ("moved_ms_p99", ms(&moved, 0.99)),
-        ("moved_ms_max", moved.max() as f64 / 1e3),
+    let own_figures = [
+        ("lost", f64::from(lost_watchers)),
+        ("moved_ms_p50", quantile_ms(&moved_us, 0.5)),
+        ("moved_ms_p99", quantile_ms(&moved_us, 0.99)),
+        ("moved_ms_max", moved_us.max() as f64 / 1e3),
         ("unmoved", f64::from(unmoved)),
         ("to_far", to_far as f64),
-        ("in_force_lost_ms_p50", ms(&of_lost.seen, 0.5)),
-        ("in_force_lost_ms_p99", ms(&of_lost.seen, 0.99)),
-        ("down_bytes_watcher", lost_bytes as f64 / f64::from(lost_count).max(1.0)),
-        ("down_bytes_watcher_max", got.iter().copied().max().unwrap_or(0) as f64),
-        ("other_core_share", (used - cpu).as_secs_f64() / at.elapsed().as_secs_f64()),
-        ("other_core_share_max", busiest),
-        ("refused", totals.refused as f64),
+        ("in_force_lost_ms_p50", quantile_ms(&in_force_lost.delay_us, 0.5)),
+        ("in_force_lost_ms_p99", quantile_ms(&in_force_lost.delay_us, 0.99)),
+        ("down_bytes_watcher", lost_bytes as f64 / f64::from(lost_watchers).max(1.0)),
+        ("down_bytes_watcher_max", received.iter().copied().max().unwrap_or(0) as f64),
+        ("other_core_share", (last_cpu - cpu_before).as_secs_f64() / at.elapsed().as_secs_f64()),
+        ("other_core_share_max", max_core_share),
+        ("refused", totals.status_503 as f64),
         ("failed", totals.failed as f64),
-        ("doubted", totals.doubted as f64),
-        late(&setting, &watchers),
+        ("doubted", totals.rejected as f64),
+        timer_delay_figure(&environment, &watchers),
     ];
-    Ok(figures(own.into_iter().chain(seen.figures())))
+    Ok(figures(own_figures.into_iter().chain(in_force.figures())))
 }
 
-/// By watcher, whether its last answer that was noted came from this relay: each first one of a relay is.
-fn whose(answers: &[Answer], watchers: usize, relay: SocketAddr) -> Vec<bool> {
+/// For each watcher, whether its last recorded response came from this relay. The first response after a
+/// change of the relay is always recorded.
+fn served_by(responses: &[WatcherResponse], watchers: usize, relay: SocketAddr) -> Vec<bool> {
     let mut last = vec![false; watchers];
-    answers.iter().for_each(|answer| last[answer.watcher] = answer.relay == relay);
+    responses.iter().for_each(|response| last[response.watcher] = response.relay == relay);
     last
 }
 
-const RETURNING: [f64; 4] = [500.0, 1_000.0, 2_000.0, 4_000.0];
-/// Who has nobody to ask comes back after a pause of up to this, by chance.
-const RETURN_WITHIN: Duration = Duration::from_millis(1_500);
-/// Against hanging only.
-const SERVED_WITHIN: Duration = Duration::from_secs(60);
+const RECONNECTING_WATCHERS: [f64; 4] = [500.0, 1_000.0, 2_000.0, 4_000.0];
+/// A client proxy without a working relay reconnects after a random backoff of up to this.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(1_500);
+/// Only a safeguard against a run that hangs.
+const SERVED_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How one relay serves all who come at once and hold nothing.
+/// The run `relay-return`: one relay and watchers without a list that all connect at once.
 ///
 /// # Errors
-/// Where it cannot be set up.
+/// If the run cannot be set up.
 pub fn returning(options: &Options) -> Result<Run, ScaleError> {
     let fixed = fixed(&[
         (
@@ -212,51 +217,58 @@
         ("pause", "after a call that was refused or failed: by chance up to 1.5 s"),
         ("cpu_ms", "what the relay used until all were served"),
     ]);
-    made("relay-return", "watchers that come at once", options, fixed, &RETURNING, |x, rng| {
-        let mut setting = Setting::open(options, ENDPOINTS as usize, rng)?;
-        let relay = setting.relay(None, false)?;
-        let callers = setting.callers(x as usize, rng);
-        let mut plan = |&caller: &usize| Plan {
-            scope: scope_name(caller),
-            near: vec![relay.process.address],
-            far: Vec::new(),
-            begins: RETURN_WITHIN.mul_f64(uniform(rng)),
-        };
-        let plans: Vec<Plan> = callers.iter().map(&mut plan).collect();
-        let cpu = relay.process.cpu()?;
-        setting.listing.late.take_ms();
-        let watchers = Watchers::start(&plans, 1, options.seed);
-        wait_until(SERVED_WITHIN, || watchers.all_answered())?;
-        let cpu = relay.process.cpu()?.saturating_sub(cpu);
-        let (mut served, mut own_time) = (microseconds(), microseconds());
-        // One that is late in noting its first answer is waited for.
-        sleep(Duration::from_millis(100));
-        let mut seen = vec![false; callers.len()];
-        for answer in watchers.take().iter().filter(|answer| answer.whole) {
-            if !std::mem::replace(&mut seen[answer.watcher], true) {
-                let after = answer.at.saturating_duration_since(watchers.began);
-                served.saturating_record(after.as_micros() as u64);
-                let own = after.saturating_sub(plans[answer.watcher].begins);
-                own_time.saturating_record(own.as_micros() as u64);
+    run_points(
+        "relay-return",
+        "watchers that come at once",
+        options,
+        fixed,
+        &RECONNECTING_WATCHERS,
+        |x, rng| {
+            let mut environment = Environment::open(options, ENDPOINTS as usize, rng)?;
+            let relay = environment.relay(None, false)?;
+            let callers = environment.callers(x as usize, rng);
+            let mut plan = |&caller: &usize| WatcherPlan {
+                scope: scope_name(caller),
+                near: vec![relay.process.address],
+                far: Vec::new(),
+                start_delay: MAX_RECONNECT_DELAY.mul_f64(uniform(rng)),
+            };
+            let plans: Vec<WatcherPlan> = callers.iter().map(&mut plan).collect();
+            let cpu = relay.process.cpu()?;
+            environment.listing.timer_delay.take_ms();
+            let watchers = Watchers::start(&plans, 1, options.seed);
+            wait_until(SERVED_TIMEOUT, || watchers.all_have_response())?;
+            let cpu = relay.process.cpu()?.saturating_sub(cpu);
+            let (mut served_us, mut own_us) = (microseconds(), microseconds());
+            // A watcher counts its first response shortly before it records it.
+            sleep(Duration::from_millis(100));
+            let mut has_list = vec![false; callers.len()];
+            for response in watchers.take().iter().filter(|response| response.full_snapshot) {
+                if !std::mem::replace(&mut has_list[response.watcher], true) {
+                    let since_start = response.at.saturating_duration_since(watchers.started);
+                    served_us.saturating_record(since_start.as_micros() as u64);
+                    let since_own_start = since_start.saturating_sub(plans[response.watcher].start_delay);
+                    own_us.saturating_record(since_own_start.as_micros() as u64);
+                }
             }
-        }
-        let totals = watchers.totals();
-        let own = [
-            ("served", served.len() as f64),
-            ("served_ms_p50", ms(&served, 0.5)),
-            ("served_ms_p99", ms(&served, 0.99)),
-            ("served_ms_max", served.max() as f64 / 1e3),
-            ("own_ms_p50", ms(&own_time, 0.5)),
-            ("own_ms_p99", ms(&own_time, 0.99)),
-            ("own_ms_max", own_time.max() as f64 / 1e3),
-            ("refused", totals.refused as f64),
-            ("failed", totals.failed as f64),
-            ("cpu_ms", cpu.as_secs_f64() * 1e3),
-            ("down_bytes_watcher", totals.down_bytes as f64 / x),
-            ("memory_mb", relay.process.status("VmRSS")?),
-            ("memory_peak_mb", relay.process.status("VmHWM")?),
-            late(&setting, &watchers),
-        ];
-        Ok(figures(own))
-    })
+            let totals = watchers.totals();
+            let own_figures = [
+                ("served", served_us.len() as f64),
+                ("served_ms_p50", quantile_ms(&served_us, 0.5)),
+                ("served_ms_p99", quantile_ms(&served_us, 0.99)),
+                ("served_ms_max", served_us.max() as f64 / 1e3),
+                ("own_ms_p50", quantile_ms(&own_us, 0.5)),
+                ("own_ms_p99", quantile_ms(&own_us, 0.99)),
+                ("own_ms_max", own_us.max() as f64 / 1e3),
+                ("refused", totals.status_503 as f64),
+                ("failed", totals.failed as f64),
+                ("cpu_ms", cpu.as_secs_f64() * 1e3),
+                ("down_bytes_watcher", totals.down_bytes as f64 / x),
+                ("memory_mb", relay.process.status("VmRSS")?),
+                ("memory_peak_mb", relay.process.status("VmHWM")?),
+                timer_delay_figure(&environment, &watchers),
+            ];
+            Ok(figures(own_figures))
+        },
+    )
 }
--- a/testbed/src/scale/relay/process.rs
+++ b/testbed/src/scale/relay/process.rs
@@ -1,4 +1,4 @@
-//! A relay's process: its configuration, its start, and the signals that end or stop it.
+//! A relay process: its configuration, its start, and signals to it.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,102 +14,109 @@
 use super::super::ScaleError;
 use super::super::real::process::Process;
 
-/// Against hanging only.
-const READY_WITHIN: Duration = Duration::from_secs(60);
-const ANSWER_WITHIN: Duration = Duration::from_secs(5);
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Only a safeguard against a run that hangs.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a relay is started with.
+/// The configuration of a relay.
 pub struct Config<'a> {
-    /// Whom it asks.
+    /// The server that it polls.
     pub source: SocketAddr,
-    /// Relays below it get the whole list.
-    pub whole: bool,
-    /// `[scopes]` and what follows.
+    /// Whether relays that poll it may request the full list.
+    pub full_list: bool,
+    /// The `[scopes]` section, as TOML.
     pub scopes: &'a str,
-    /// The name of a scope that it has to know to be ready; the whole list, where there is none.
+    /// The scope to poll until the relay is ready. Without one, the full list.
     pub scope: Option<&'a str>,
 }
 
-/// One that runs; it is killed when this is dropped.
+/// A running relay, which is killed when this is dropped.
 pub struct Relay {
-    /// What the system says of it.
+    /// The process of the relay.
     pub process: Process,
-    /// From its start until it answers.
-    pub start: Duration,
+    /// Time from the start of the process until its first response.
+    pub startup_time: Duration,
 }
 
 impl Relay {
-    /// Starts it and waits until it answers a call.
+    /// Starts a relay and waits until it responds to a poll.
     ///
     /// # Errors
-    /// Where it does not start, or does not answer in time.
+    /// If it does not start, or does not respond in time.
     pub fn start(binary: &Path, dir: &Path, config: &Config<'_>) -> Result<Relay, ScaleError> {
         let file = dir.join("relay.toml");
-        let Config { source, whole, scopes, scope } = config;
+        let Config { source, full_list, scopes, scope } = config;
         let text = format!(
-            "listen = \"127.0.0.1:0\"\nwhole = {whole}\nconnections = 16000\n[source]\nnear = [\"{source}\"]\n{scopes}"
+            "listen = \"127.0.0.1:0\"\nwhole = {full_list}\nconnections = 16000\n[source]\nnear = [\"{source}\"]\n{scopes}"
         );
         fs::write(&file, text)?;
-        let along = "command -v setpriv >/dev/null && exec setpriv --pdeathsig KILL \"$0\" \"$@\"; exec \"$0\" \"$@\"";
+        let shell_script = "command -v setpriv >/dev/null && exec setpriv --pdeathsig KILL \"$0\" \"$@\"; exec \"$0\" \"$@\"";
         let mut command = Command::new("sh");
-        command.arg("-c").arg(along).arg(binary).arg("--config").arg(&file);
+        command.arg("-c").arg(shell_script).arg(binary).arg("--config").arg(&file);
         let started = Instant::now();
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn()?;
-        let (said, lines) = mpsc::channel();
+        let (log_sender, lines) = mpsc::channel();
         if let Some(log) = child.stderr.take() {
-            // Reads to the end, lest a full pipe stop it.
+            // Read until the end: the relay would block on writing to a full pipe.
             thread::spawn(move || {
-                BufReader::new(log).lines().map_while(Result::ok).for_each(|line| drop(said.send(line)));
+                BufReader::new(log)
+                    .lines()
+                    .map_while(Result::ok)
+                    .for_each(|line| drop(log_sender.send(line)));
             });
         }
-        // Dropped, and the child with it, on every way out.
-        let mut process = Process::of(child, SocketAddr::from(([127, 0, 0, 1], 0)));
-        let mut words = Vec::new();
-        let failed = |words: &[String]| {
-            ScaleError::SetUp(format!("{}: the relay is not ready: {}", binary.display(), words.join(" | ")))
+        // Owns the child, so that each early return kills it.
+        let mut process = Process::from_child(child, SocketAddr::from(([127, 0, 0, 1], 0)));
+        let mut log_lines = Vec::new();
+        let not_ready = |log_lines: &[String]| {
+            ScaleError::SetUp(format!(
+                "{}: the relay did not become ready: {}",
+                binary.display(),
+                log_lines.join(" | ")
+            ))
         };
         while process.address.port() == 0 {
-            let left = READY_WITHIN.saturating_sub(started.elapsed());
-            let line = lines.recv_timeout(left).map_err(|_| failed(&words))?;
+            let remaining = READY_TIMEOUT.saturating_sub(started.elapsed());
+            let line = lines.recv_timeout(remaining).map_err(|_| not_ready(&log_lines))?;
             if let Some((_, address)) = line.split_once(" listens on ") {
-                process.address = address.parse().map_err(|_| failed(std::slice::from_ref(&line)))?;
+                process.address = address.parse().map_err(|_| not_ready(std::slice::from_ref(&line)))?;
             }
-            words.push(line);
+            log_lines.push(line);
         }
-        while !answers(process.address, scope.unwrap_or("127.0.0.1")) {
-            if started.elapsed() > READY_WITHIN {
-                words.extend(lines.try_iter());
-                return Err(failed(&words));
+        while !is_ready(process.address, scope.unwrap_or("127.0.0.1")) {
+            if started.elapsed() > READY_TIMEOUT {
+                log_lines.extend(lines.try_iter());
+                return Err(not_ready(&log_lines));
             }
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(CHECK_INTERVAL);
         }
-        Ok(Relay { process, start: started.elapsed() })
+        Ok(Relay { process, startup_time: started.elapsed() })
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the relay.
     ///
     /// # Errors
-    /// Where it has ended.
+    /// If the process has exited.
     pub fn signal(&self, signal: Signal) -> Result<(), ScaleError> {
         let pid = i32::try_from(self.process.id()).ok().and_then(Pid::from_raw);
-        let pid = pid.ok_or_else(|| ScaleError::SetUp("a process without a number".to_owned()))?;
+        let pid = pid.ok_or_else(|| ScaleError::SetUp("the relay has no valid process ID".to_owned()))?;
         kill_process(pid, signal).map_err(|error| ScaleError::Io(error.into()))
     }
 }
 
-/// Whether it has a list for this authority.
-fn answers(address: SocketAddr, authority: &str) -> bool {
-    let asked = || -> std::io::Result<bool> {
-        let mut stream = TcpStream::connect_timeout(&address, ANSWER_WITHIN)?;
-        stream.set_read_timeout(Some(ANSWER_WITHIN))?;
-        let call = format!(
+/// Whether the relay responds with a list for this authority.
+fn is_ready(address: SocketAddr, authority: &str) -> bool {
+    let poll = || -> std::io::Result<bool> {
+        let mut stream = TcpStream::connect_timeout(&address, RESPONSE_TIMEOUT)?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+        let request = format!(
             "GET /v1/endpoints?after=1&wait_ms=0 HTTP/1.1\r\nHost: {authority}\r\nConnection: close\r\n\r\n"
         );
-        stream.write_all(call.as_bytes())?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer)?;
-        Ok(answer.starts_with("HTTP/1.1 200"))
+        stream.write_all(request.as_bytes())?;
+        let mut response = String::new();
+        stream.read_to_string(&mut response)?;
+        Ok(response.starts_with("HTTP/1.1 200"))
     };
-    asked().unwrap_or(false)
+    poll().unwrap_or(false)
 }
--- a/testbed/src/scale/relay/tests.rs
+++ b/testbed/src/scale/relay/tests.rs
@@ -6,24 +6,26 @@
 use crate::chance::stream;
 use crate::scale::Run;
 
-/// A folder of one test's own, and the relay as it was built beside the tests. Built here where only they were asked for.
+/// Options with a directory of the test's own. Builds the relay, which `cargo test -p testbed` alone does
+/// not.
 fn options(name: &str) -> Options {
     let built = Command::new(env!("CARGO")).args(["build", "--locked", "-p", "discovery-relay"]).status();
     assert!(built.expect("cargo").success());
-    let own = std::env::current_exe().expect("its own place");
+    let own = std::env::current_exe().expect("the path of the test executable");
     let beside = own.parent().and_then(|deps| deps.parent()).expect("target/debug/deps");
     let dir = std::env::temp_dir().join(format!("testbed-relay-{}-{name}", std::process::id()));
-    fs::create_dir_all(&dir).expect("a folder");
+    fs::create_dir_all(&dir).expect("a temporary directory");
     Options { binary: beside.join("client-proxy"), seed: 5, dir }
 }
 
 fn figure(run: &Run, name: &str) -> f64 {
-    *run.points[0].figures.get(name).unwrap_or_else(|| panic!("no {name}: {run:?}"))
+    *run.points[0].figures.get(name).unwrap_or_else(|| panic!("no figure {name}: {run:?}"))
 }
 
-/// Guards against figures of watchers that were refused, or that changes did not reach: then they are of nothing.
+/// Watchers that the relay rejects, or that changes do not reach, cause almost no load, so the figures of
+/// such a run would be far too low.
 #[test]
-fn changes_reach_all_whom_they_concern_through_a_real_relay() {
+fn relay_delivers_changes_to_all_concerned_watchers() {
     let options = options("watchers");
     let run = watchers_run(&options, &[30.0], 2_100).expect("a run");
     assert!(figure(&run, "calls_s") > 0.0 && figure(&run, "memory_mb") > 0.0, "{run:?}");
@@ -35,9 +37,10 @@
     let _ = fs::remove_dir_all(options.dir);
 }
 
-/// Guards against a relay that is lost and whose watchers stay lost, and against a count of moves by those who stayed.
+/// The run has to show the failover of every watcher of the failed relay. Watchers that stay without a relay,
+/// or watchers of the other relay that are counted too, would make the failover times wrong.
 #[test]
-fn all_watchers_of_a_relay_that_is_lost_come_to_another_one() {
+fn all_watchers_of_failed_relay_fail_over() {
     let options = options("lost");
     let run = lost_run(&options, &[30.0], 2_100).expect("a run");
     for way in ["killed", "stopped", "terminated"] {
@@ -50,34 +53,38 @@
     let _ = fs::remove_dir_all(options.dir);
 }
 
-/// Guards against a change that counts as in force before it was told, and against one that never came and is not missed.
+/// A response with an earlier version must not count as the change being in force, and a watcher that never
+/// gets the change must count as missed, even if a response without entries has its version.
 #[test]
-fn a_change_is_in_force_once_its_version_is_told_and_missed_otherwise() {
+fn change_in_force_with_its_version_else_missed() {
     let options = options("in-force");
     let mut rng = stream(5, "in-force");
-    let mut setting = Setting::open(&options, 2_100, &mut rng).expect("a setting");
-    let change = setting.change(&[0]);
-    let service = setting.service[0];
-    let calls = |caller: &usize| setting.fleet.calls[*caller].contains(&service);
-    let concerned = (0..setting.fleet.calls.len()).find(calls).expect("somebody calls it");
-    let other = (0..setting.fleet.calls.len()).find(|caller| !calls(caller)).expect("somebody does not");
+    let mut environment = Environment::open(&options, 2_100, &mut rng).expect("an environment");
+    let change = environment.change(&[0]);
+    let service = environment.services[0];
+    let calls = |caller: &usize| environment.fleet.calls[*caller].contains(&service);
+    let concerned = (0..environment.fleet.calls.len()).find(calls).expect("a service that calls it");
+    let other = (0..environment.fleet.calls.len())
+        .find(|caller| !calls(caller))
+        .expect("a service that does not call it");
     let relay = SocketAddr::from(([127, 0, 0, 1], 1));
-    let answer = |watcher: usize, index: u64, news: bool, after: u64| Answer {
+    let response = |watcher: usize, index: u64, has_entries: bool, after_ms: u64| WatcherResponse {
         watcher,
-        at: change.at + Duration::from_millis(after),
+        at: change.at + Duration::from_millis(after_ms),
         index,
-        news,
-        whole: false,
+        has_entries,
+        full_snapshot: false,
         relay,
     };
     let callers = [concerned, other, concerned];
-    // The first one is told the version before, and then the change; the last one hears of nothing that is new.
+    // The first watcher gets the previous version and then the change; the last one gets a response without
+    // entries.
     let version = change.version;
-    let answers =
-        [answer(0, version - 1, true, 5), answer(2, version, false, 6), answer(0, version, true, 40)];
+    let responses =
+        [response(0, version - 1, true, 5), response(2, version, false, 6), response(0, version, true, 40)];
     let changes = [change];
-    let found = InForce::of(&setting, &changes, &callers, &answers, |_| true);
-    assert_eq!((found.concerned, found.seen.len(), found.missed), (2, 1, 1));
-    assert!((39_000..=41_000).contains(&found.seen.max()), "{}", found.seen.max());
+    let found = InForce::of(&environment, &changes, &callers, &responses, |_| true);
+    assert_eq!((found.concerned, found.delay_us.len(), found.missed), (2, 1, 1));
+    assert!((39_000..=41_000).contains(&found.delay_us.max()), "{}", found.delay_us.max());
     let _ = fs::remove_dir_all(options.dir);
 }
--- a/testbed/src/scale/relay/watchers.rs
+++ b/testbed/src/scale/relay/watchers.rs
@@ -1,5 +1,5 @@
-//! Many watchers of relays on real sockets: calls, pauses and the choice of the relay are the client proxy's own
-//! (`discovery_proto`); of an answer only its version and the count of its entries are read.
+//! Many watchers of relays on real sockets. Polls, delays and the choice of the relay are those of the client
+//! proxy (`discovery_proto`); of a response only the version and the number of entries are read.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -23,159 +23,161 @@
 use tokio_util::io::{InspectReader, InspectWriter};
 use tokio_util::sync::CancellationToken;
 
-use super::super::real::late::Late;
+use super::super::real::late::TimerDelay;
 use crate::chance::{stream, uniform};
 use crate::saturate::on_a_thread;
 
-/// As the client proxy has it.
-const DIAL_WITHIN: Duration = Duration::from_millis(500);
-const LIST_MOST: usize = 8 * 1024 * 1024;
-/// Where all relays have failed: by chance up to this, somewhat longer than the decisions pause after a watch that broke.
-const PAUSE_MOST: Duration = Duration::from_millis(1_500);
-/// As the client proxy has it, after a doubtful answer.
-const BREATH: Duration = Duration::from_millis(50);
+/// As in the client proxy.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
+/// After all relays have failed, the backoff is random, up to this. It is a little longer than the balancer's
+/// backoff after a failed watch.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_500);
+/// Delay after a rejected response, as in the client proxy.
+const REPOLL_DELAY: Duration = Duration::from_millis(50);
 
-/// One watcher.
+/// The configuration of one watcher.
 #[derive(Clone)]
-pub struct Plan {
-    /// The authority that it asks for.
+pub struct WatcherPlan {
+    /// The authority in its polls.
     pub scope: String,
-    /// Relays of its zone.
+    /// Relays in its own zone.
     pub near: Vec<SocketAddr>,
-    /// Others.
+    /// Relays in other zones.
     pub far: Vec<SocketAddr>,
-    /// How long after the others' beginning its own is.
-    pub begins: Duration,
+    /// When it starts, after [`Watchers::started`].
+    pub start_delay: Duration,
 }
 
-/// An answer that told something, or that came from another relay than the one before.
+/// A response with entries, or the first response from another relay than before.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
-    /// Whose.
+pub struct WatcherResponse {
+    /// The index of the watcher.
     pub watcher: usize,
-    /// When it was read to its end.
+    /// When the body was complete.
     pub at: Instant,
-    /// The version held from then on.
+    /// The version of the list.
     pub index: u64,
-    /// Something was told in it.
-    pub news: bool,
-    /// It was the whole list.
-    pub whole: bool,
-    /// Who answered.
+    /// Whether it is a full snapshot or has changes.
+    pub has_entries: bool,
+    /// Whether it is a full snapshot.
+    pub full_snapshot: bool,
+    /// The relay that sent it.
     pub relay: SocketAddr,
 }
 
-/// What went over one watcher's connections, heads included, and its calls.
+/// Counts of one watcher. Bytes include HTTP heads.
 #[derive(Debug, Default)]
 struct Counters {
-    up: AtomicU64,
-    down: AtomicU64,
-    calls: AtomicU64,
+    up_bytes: AtomicU64,
+    down_bytes: AtomicU64,
+    polls: AtomicU64,
 }
 
-/// The same, of all watchers together, and the calls that came to nothing.
+/// Counts of all watchers together, with the polls that failed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Totals {
-    /// Calls that were answered with a list.
-    pub calls: u64,
-    /// Bytes to relays.
+    /// Polls whose response was a list.
+    pub polls: u64,
+    /// Bytes sent to relays.
     pub up_bytes: u64,
-    /// Bytes from relays.
+    /// Bytes received from relays.
     pub down_bytes: u64,
-    /// Calls that were refused (503).
-    pub refused: u64,
-    /// Calls that failed in any other way.
+    /// Polls that were rejected with status 503.
+    pub status_503: u64,
+    /// Polls that failed in any other way.
     pub failed: u64,
-    /// Answers that were no sound news.
-    pub doubted: u64,
+    /// Responses whose version did not fit the current list.
+    pub rejected: u64,
 }
 
 #[derive(Default)]
 struct Shared {
-    each: Vec<Arc<Counters>>,
-    answers: Mutex<Vec<Answer>>,
-    refused: AtomicU64,
+    counters: Vec<Arc<Counters>>,
+    responses: Mutex<Vec<WatcherResponse>>,
+    status_503: AtomicU64,
     failed: AtomicU64,
-    doubted: AtomicU64,
+    rejected: AtomicU64,
 }
 
-/// See the module's page. They end when this is dropped.
+/// A group of watchers, which stop when this is dropped.
 pub struct Watchers {
     shared: Arc<Shared>,
-    late: Vec<Late>,
-    ended: CancellationToken,
+    timer_delays: Vec<TimerDelay>,
+    shutdown: CancellationToken,
     threads: Vec<JoinHandle<io::Result<()>>>,
-    /// When they began.
-    pub began: Instant,
+    /// When the watchers were started.
+    pub started: Instant,
 }
 
 impl Watchers {
-    /// Begins, on so many threads.
-    pub fn start(plans: &[Plan], threads: usize, seed: u64) -> Watchers {
-        let each = plans.iter().map(|_| Arc::default()).collect();
-        let shared = Arc::new(Shared { each, ..Shared::default() });
-        let (ended, began) = (CancellationToken::new(), Instant::now());
-        let late: Vec<Late> = (0..threads).map(|_| Late::default()).collect();
-        let run = |(thread, late): (usize, &Late)| {
-            let own: Vec<(usize, Plan)> =
+    /// Starts the watchers, spread over this number of threads.
+    pub fn start(plans: &[WatcherPlan], threads: usize, seed: u64) -> Watchers {
+        let counters = plans.iter().map(|_| Arc::default()).collect();
+        let shared = Arc::new(Shared { counters, ..Shared::default() });
+        let (shutdown, started) = (CancellationToken::new(), Instant::now());
+        let timer_delays: Vec<TimerDelay> = (0..threads).map(|_| TimerDelay::default()).collect();
+        let start_thread = |(thread, timer_delay): (usize, &TimerDelay)| {
+            let own_plans: Vec<(usize, WatcherPlan)> =
                 plans.iter().cloned().enumerate().skip(thread).step_by(threads).collect();
-            let (shared, ended, late) = (Arc::clone(&shared), ended.clone(), late.clone());
+            let (shared, shutdown, timer_delay) =
+                (Arc::clone(&shared), shutdown.clone(), timer_delay.clone());
             on_a_thread(async move {
-                spawn_local(late.follow());
-                for (number, plan) in own {
+                spawn_local(timer_delay.measure());
+                for (number, plan) in own_plans {
                     let rng = stream(seed, &format!("watcher {number}"));
-                    spawn_local(watch(number, plan, Arc::clone(&shared), rng, began));
+                    spawn_local(run_watcher(number, plan, Arc::clone(&shared), rng, started));
                 }
-                ended.cancelled().await;
+                shutdown.cancelled().await;
                 Ok(())
             })
         };
-        let threads = late.iter().enumerate().map(run).collect();
-        Watchers { shared, late, ended, threads, began }
+        let threads = timer_delays.iter().enumerate().map(start_thread).collect();
+        Watchers { shared, timer_delays, shutdown, threads, started }
     }
 
-    /// Takes the answers since this was last asked, in the order of their arrival.
-    pub fn take(&self) -> Vec<Answer> {
-        mem::take(&mut *self.shared.answers.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Takes the responses since the last call, in the order of their arrival.
+    pub fn take(&self) -> Vec<WatcherResponse> {
+        mem::take(&mut *self.shared.responses.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Since the start.
+    /// Totals since the start.
     pub fn totals(&self) -> Totals {
-        let sum = |of: fn(&Counters) -> &AtomicU64| {
-            self.shared.each.iter().map(|one| of(one).load(Ordering::Relaxed)).sum()
+        let sum = |counter: fn(&Counters) -> &AtomicU64| {
+            self.shared.counters.iter().map(|watcher| counter(watcher).load(Ordering::Relaxed)).sum()
         };
-        let Shared { refused, failed, doubted, .. } = &*self.shared;
+        let Shared { status_503, failed, rejected, .. } = &*self.shared;
         Totals {
-            calls: sum(|one| &one.calls),
-            up_bytes: sum(|one| &one.up),
-            down_bytes: sum(|one| &one.down),
-            refused: refused.load(Ordering::Relaxed),
+            polls: sum(|watcher| &watcher.polls),
+            up_bytes: sum(|watcher| &watcher.up_bytes),
+            down_bytes: sum(|watcher| &watcher.down_bytes),
+            status_503: status_503.load(Ordering::Relaxed),
             failed: failed.load(Ordering::Relaxed),
-            doubted: doubted.load(Ordering::Relaxed),
+            rejected: rejected.load(Ordering::Relaxed),
         }
     }
 
-    /// Bytes that each has got since the start.
-    pub fn down_each(&self) -> Vec<u64> {
-        self.shared.each.iter().map(|one| one.down.load(Ordering::Relaxed)).collect()
+    /// Bytes that each watcher has received since the start.
+    pub fn down_bytes_each(&self) -> Vec<u64> {
+        self.shared.counters.iter().map(|watcher| watcher.down_bytes.load(Ordering::Relaxed)).collect()
     }
 
-    /// Whether each has had an answer by now.
-    pub fn all_answered(&self) -> bool {
-        self.shared.each.iter().all(|one| one.calls.load(Ordering::Relaxed) > 0)
+    /// Whether each watcher has had a response.
+    pub fn all_have_response(&self) -> bool {
+        self.shared.counters.iter().all(|watcher| watcher.polls.load(Ordering::Relaxed) > 0)
     }
 
-    /// The latest of their threads at the 99th percentile since this was last asked, in milliseconds.
-    pub fn take_late_ms(&self) -> f64 {
-        self.late.iter().map(Late::take_ms).fold(0.0, f64::max)
+    /// The timer delay of the slowest thread since the last call, in milliseconds, at the 99th percentile.
+    pub fn take_timer_delay_ms(&self) -> f64 {
+        self.timer_delays.iter().map(TimerDelay::take_ms).fold(0.0, f64::max)
     }
 }
 
 impl Drop for Watchers {
     fn drop(&mut self) {
-        self.ended.cancel();
+        self.shutdown.cancel();
         for thread in self.threads.drain(..) {
-            // What it could have failed with, it would have failed with at its start.
+            // A watcher thread can only fail at its start.
             let _ = thread.join();
         }
     }
@@ -189,72 +191,86 @@
     endpoints: Vec<IgnoredAny>,
 }
 
-/// One watcher, for as long as its thread runs.
-async fn watch(number: usize, plan: Plan, shared: Arc<Shared>, mut rng: Pcg32, began: Instant) {
-    let Plan { scope, near, far, begins } = plan;
+/// Runs one watcher until its thread ends.
+async fn run_watcher(
+    number: usize,
+    plan: WatcherPlan,
+    shared: Arc<Shared>,
+    mut rng: Pcg32,
+    started: Instant,
+) {
+    let WatcherPlan { scope, near, far, start_delay } = plan;
     let Some(mut sources) = Sources::new(&near, &far, &mut rng) else { return };
     let Ok(host) = HeaderValue::from_str(&scope) else { return };
-    sleep(begins).await;
-    let counters = Arc::clone(&shared.each[number]);
-    let (mut session, mut link, mut last) =
+    sleep(start_delay).await;
+    let counters = Arc::clone(&shared.counters[number]);
+    let (mut session, mut connection, mut last_relay) =
         (Session::new(PollTiming::DIRECT, None), None::<DiscoveryConnection>, None);
     loop {
-        if sources.fail_back(began.elapsed(), &mut rng) {
-            link = None;
+        if sources.fail_back(started.elapsed(), &mut rng) {
+            connection = None;
             session.source_changed();
         }
-        let (call, relay) = (session.next_poll(), sources.address());
-        let request = list_request(host.clone(), &call.path());
-        let exchanged = exchange(link.take(), dial(relay, &counters), request, LIST_MOST);
-        let answered = timeout(call.timeout, exchanged).await.unwrap_or_else(|late| Err(late.into()));
-        let read = answered.and_then(|DiscoveryResponse { connection: link, body, .. }| {
+        let (poll, relay) = (session.next_poll(), sources.address());
+        let request = list_request(host.clone(), &poll.path());
+        let exchanged = exchange(connection.take(), dial(relay, &counters), request, MAX_LIST_BYTES);
+        let result = timeout(poll.timeout, exchanged).await.unwrap_or_else(|elapsed| Err(elapsed.into()));
+        let read = result.and_then(|DiscoveryResponse { connection: reusable, body, .. }| {
             let list = serde_json::from_slice::<EndpointList>(&body).map_err(EndpointListError::from)?;
-            Ok((link, list))
+            Ok((reusable, list))
         });
         match read {
-            Ok((used, EndpointList { index, snapshot: whole, endpoints })) => {
-                link = Some(used);
+            Ok((reusable, EndpointList { index, snapshot: full_snapshot, endpoints })) => {
+                connection = Some(reusable);
                 sources.on_response();
-                counters.calls.fetch_add(1, Ordering::Relaxed);
-                let told =
-                    ResponseSummary { index, full_snapshot: whole, readable: endpoints.len(), unreadable: 0 };
-                if session.on_response(told) == Verdict::Rejected {
-                    shared.doubted.fetch_add(1, Ordering::Relaxed);
-                    sleep(BREATH).await;
+                counters.polls.fetch_add(1, Ordering::Relaxed);
+                let summary =
+                    ResponseSummary { index, full_snapshot, readable: endpoints.len(), unreadable: 0 };
+                if session.on_response(summary) == Verdict::Rejected {
+                    shared.rejected.fetch_add(1, Ordering::Relaxed);
+                    sleep(REPOLL_DELAY).await;
                     continue;
                 }
-                let news = whole || !endpoints.is_empty();
-                if news || last != Some(relay) {
-                    last = Some(relay);
-                    let answer = Answer { watcher: number, at: Instant::now(), index, news, whole, relay };
-                    shared.answers.lock().unwrap_or_else(PoisonError::into_inner).push(answer);
+                let has_entries = full_snapshot || !endpoints.is_empty();
+                if has_entries || last_relay != Some(relay) {
+                    last_relay = Some(relay);
+                    let response = WatcherResponse {
+                        watcher: number,
+                        at: Instant::now(),
+                        index,
+                        has_entries,
+                        full_snapshot,
+                        relay,
+                    };
+                    shared.responses.lock().unwrap_or_else(PoisonError::into_inner).push(response);
                 }
             }
-            Err(failed) => {
-                let refused = matches!(failed, PollError::Status(StatusCode::SERVICE_UNAVAILABLE));
-                let count = if refused { &shared.refused } else { &shared.failed };
+            Err(error) => {
+                let is_503 = matches!(error, PollError::Status(StatusCode::SERVICE_UNAVAILABLE));
+                let count = if is_503 { &shared.status_503 } else { &shared.failed };
                 count.fetch_add(1, Ordering::Relaxed);
-                // How long to pause is for the relays' choice, or for the decisions.
-                let _ = session.on_failure(failed.is_invalid_response());
-                let pause = match sources.on_failure(began.elapsed(), &mut rng) {
-                    Fallback::NextSource(pause) => pause,
-                    Fallback::AllFailed => PAUSE_MOST.mul_f64(uniform(&mut rng)),
+                // The session's own delay is unused: `sources` sets the delay, or all have failed and it is
+                // random.
+                let _ = session.on_failure(error.is_invalid_response());
+                let backoff = match sources.on_failure(started.elapsed(), &mut rng) {
+                    Fallback::NextSource(delay) => delay,
+                    Fallback::AllFailed => MAX_BACKOFF.mul_f64(uniform(&mut rng)),
                 };
-                sleep(pause).await;
+                sleep(backoff).await;
             }
         }
     }
 }
 
 async fn dial(relay: SocketAddr, counters: &Arc<Counters>) -> Result<DiscoveryConnection, PollError> {
-    let stream = timeout(DIAL_WITHIN, TcpStream::connect(relay)).await??;
+    let stream = timeout(DIAL_TIMEOUT, TcpStream::connect(relay)).await??;
     stream.set_nodelay(true)?;
     let (up, down) = (Arc::clone(counters), Arc::clone(counters));
     let stream = InspectReader::new(stream, move |bytes: &[u8]| {
-        down.down.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        down.down_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
     });
     let stream = InspectWriter::new(stream, move |bytes: &[u8]| {
-        up.up.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        up.up_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
     });
     handshake(stream).await
 }
--- a/testbed/src/scale/watchers.rs
+++ b/testbed/src/scale/watchers.rs
@@ -213,9 +213,9 @@
 }
 
 /// A scope is a contiguous range of endpoints, and the endpoint that changes.
-fn scope_contains(scope: u32, endpoint: u32, all: u32) -> bool {
-    let first = (scope * SCOPE_ENDPOINTS) % all;
-    endpoint == CHANGED_ENDPOINT || (endpoint + all - first) % all < SCOPE_ENDPOINTS - 1
+fn scope_contains(scope: u32, endpoint: u32, endpoint_count: u32) -> bool {
+    let first = (scope * SCOPE_ENDPOINTS) % endpoint_count;
+    endpoint == CHANGED_ENDPOINT || (endpoint + endpoint_count - first) % endpoint_count < SCOPE_ENDPOINTS - 1
 }
 
 /// A connection that counts its bytes.
