--- a/testbed/src/events.rs
+++ b/testbed/src/events.rs
@@ -11,7 +11,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::chance::{stream, uniform};
-use crate::clients::Beside;
+use crate::clients::ClientProxy;
 use crate::datagrams::{Datagrams, Lane};
 use crate::discovery::Discovery;
 use crate::fleet::{FleetError, Proxy};
@@ -39,7 +39,7 @@
     /// The client proxy processes.
     pub proxies: Vec<Rc<Proxy>>,
     /// The clients' view of each client proxy.
-    pub beside: Vec<Rc<Beside>>,
+    pub beside: Vec<Rc<ClientProxy>>,
     /// The order servers.
     pub servers: Vec<Rc<Server>>,
     /// Links for requests, indexed by client proxy and order server.
@@ -156,7 +156,7 @@
                 let proxies = self.proxies(&proxies, &mut rng);
                 self.record_fault(format!("kill {} client proxies", proxies.len()));
                 for &n in &proxies {
-                    self.beside[n].taken(self.play.now());
+                    self.beside[n].fault_started(self.play.now());
                     self.proxies[n].signal(Signal::KILL);
                 }
                 if let Some(pause) = restart_after {
@@ -175,13 +175,13 @@
                 let proxies = self.proxies(&proxies, &mut rng);
                 self.record_fault(format!("stop {} client proxies", proxies.len()));
                 for &n in &proxies {
-                    self.beside[n].taken(self.play.now());
+                    self.beside[n].fault_started(self.play.now());
                     self.proxies[n].signal(Signal::STOP);
                 }
                 sleep(lasts).await;
                 for &n in &proxies {
                     self.proxies[n].signal(Signal::CONT);
-                    self.beside[n].back(self.play.now());
+                    self.beside[n].fault_ended(self.play.now());
                 }
             }
             Fault::Upgrade { proxies } => {
@@ -197,7 +197,7 @@
                 let proxies = self.proxies(&proxies, &mut rng);
                 self.record_fault(format!("roll {} client proxies", proxies.len()));
                 for n in proxies {
-                    self.beside[n].taken(self.play.now());
+                    self.beside[n].fault_started(self.play.now());
                     self.proxies[n].signal(Signal::TERM);
                     if !self.proxies[n].ended(EXIT_TIMEOUT).await {
                         self.proxies[n].signal(Signal::KILL);
@@ -434,7 +434,7 @@
 
     async fn restart(self: Rc<Self>, n: usize) {
         match self.proxies[n].start().await {
-            Ok(()) => self.beside[n].back(self.play.now()),
+            Ok(()) => self.beside[n].fault_ended(self.play.now()),
             Err(error) => self.failed_to_start(&error),
         }
     }
@@ -508,7 +508,7 @@
     let ledger: &RefCell<_> = &environment.play.ledger;
     let now = environment.play.now();
     for (n, (proxy, beside)) in environment.proxies.iter().zip(&environment.beside).enumerate() {
-        let (usage, interrupted) = (proxy.usage(), beside.was_taken(now, now));
+        let (usage, interrupted) = (proxy.usage(), beside.had_fault(now, now));
         let violation = |rule, how: String| ledger.borrow_mut().record_violation(rule, now, &how);
         if proxy.has_ended() && !interrupted {
             violation(Rule::Crash, format!("client proxy {n} exited unexpectedly: {}", proxy.last_words()));
--- a/testbed/src/run.rs
+++ b/testbed/src/run.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::chance::stream;
-use crate::clients::{Beside, Clients, arrivals};
+use crate::clients::{ClientProxy, Clients, arrivals};
 use crate::datagrams::Datagrams;
 use crate::discovery::Discovery;
 use crate::events::{Environment, check_processes, one_way_latency, sample_usage};
@@ -305,7 +305,8 @@
     for start in starts {
         start.await.map_err(io::Error::other)??;
     }
-    let beside: Vec<Rc<Beside>> = proxies.iter().map(|proxy| Rc::new(Beside::new(proxy.address))).collect();
+    let beside: Vec<Rc<ClientProxy>> =
+        proxies.iter().map(|proxy| Rc::new(ClientProxy::new(proxy.address))).collect();
     Ok(Environment {
         play: play.clone(),
         proxies,
