--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -1,5 +1,6 @@
-//! A stand-in of discovery: the list of order servers, to each client proxy with the addresses that are its own; whole
-//! or as a watch, one call after another, late, stale, down, silent, lying or moved.
+//! Simulated discovery. It serves the list of order servers as a full snapshot or as a watch; each client
+//! proxy gets addresses of its own, since it reaches each server over a link of its own. Polls are processed
+//! one at a time. Discovery can be slow, stale, down, stalled, serve wrong lists, or move to another address.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -25,67 +26,68 @@
 use crate::servers::{RunContext, Server};
 use crate::station::Seconds;
 
-/// How often a watch looks whether a list that is told late has become due.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// A watch waits no longer than this.
-const WAIT_MOST: Duration = Duration::from_secs(60);
-/// A pause where the system has no more descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Interval at which a waiting watch checks whether a version that is served late has become due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Upper limit of a watch's `wait_ms`.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
+/// Backoff after a failed accept, as when the process has run out of file descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The state of one order server, as the list has it.
+/// The state of one order server in a version of the list.
 #[derive(Clone, PartialEq)]
 struct Entry {
-    gone: bool,
+    removed: bool,
     draining: bool,
-    /// Unix time in milliseconds, 0 for long ago.
+    /// Unix time in milliseconds at which its process started, 0 if before the run.
     since_ms: u64,
 }
 
-/// A version of the list.
+/// A version of the list, and since when it is current.
 #[derive(Clone)]
 struct Version {
     at: Seconds,
     entries: Vec<Entry>,
 }
 
-/// See the module's page.
+/// The simulated discovery service.
 pub struct Discovery {
     run: RunContext,
     servers: Vec<Rc<Server>>,
     zones: Vec<String>,
     kinds: Vec<String>,
-    /// By client proxy and server.
+    /// Indexed by client proxy and server.
     addresses: Vec<Vec<SocketAddr>>,
-    /// All versions that there were: a stale list is an earlier one.
+    /// All versions so far, since a stale discovery serves an earlier one.
     versions: RefCell<Vec<Version>>,
     newest: watch::Sender<usize>,
-    shape: DiscoverySettings,
-    turn: Mutex<()>,
+    settings: DiscoverySettings,
+    poll_lock: Mutex<()>,
     down: Cell<bool>,
-    silent: Cell<bool>,
+    stalled: Cell<bool>,
     lie: Cell<Option<Lie>>,
-    /// Who knows no later version than this one has been lied to since, and needs the whole list.
-    whole_until: Cell<usize>,
+    /// A watch that knows no later version than this one may have received a wrong list, and gets a full
+    /// snapshot.
+    full_snapshot_until: Cell<usize>,
     stale: Cell<Seconds>,
-    /// From when on it has told the truth, at once, to whoever asks; infinite while it does not.
-    sound_since: Cell<Seconds>,
-    gone: RefCell<Vec<bool>>,
-    /// At which address each client proxy asked last.
-    asked: RefCell<Vec<Option<SocketAddr>>>,
+    /// Since when it has served the current list without a fault; infinite while a fault is active.
+    healthy_since: Cell<Seconds>,
+    removed: RefCell<Vec<bool>>,
+    /// The address at which each client proxy polled last.
+    last_polled: RefCell<Vec<Option<SocketAddr>>>,
 }
 
 impl Discovery {
-    /// Knows all of these servers as running.
+    /// Creates a discovery that lists all of these servers.
     pub fn new(
         run: RunContext,
         servers: Vec<Rc<Server>>,
         zones: Vec<String>,
         kinds: Vec<String>,
         addresses: Vec<Vec<SocketAddr>>,
-        shape: DiscoverySettings,
+        settings: DiscoverySettings,
     ) -> Rc<Discovery> {
-        let gone = RefCell::new(vec![false; servers.len()]);
-        let asked = RefCell::new(vec![None; addresses.len()]);
+        let removed = RefCell::new(vec![false; servers.len()]);
+        let last_polled = RefCell::new(vec![None; addresses.len()]);
         let discovery = Discovery {
             run,
             servers,
@@ -94,130 +96,136 @@
             addresses,
             versions: RefCell::default(),
             newest: watch::Sender::new(0),
-            shape,
-            turn: Mutex::new(()),
+            settings,
+            poll_lock: Mutex::new(()),
             down: Cell::new(false),
-            silent: Cell::new(false),
+            stalled: Cell::new(false),
             lie: Cell::new(None),
-            whole_until: Cell::new(0),
+            full_snapshot_until: Cell::new(0),
             stale: Cell::new(0.0),
-            sound_since: Cell::new(f64::NEG_INFINITY),
-            gone,
-            asked,
+            healthy_since: Cell::new(f64::NEG_INFINITY),
+            removed,
+            last_polled,
         };
-        discovery.look();
+        discovery.refresh();
         Rc::new(discovery)
     }
 
-    /// A server's machine has gone, or is back.
-    pub fn gone(&self, server: usize, gone: bool) {
-        if let Some(known) = self.gone.borrow_mut().get_mut(server) {
-            *known = gone;
+    /// Records that a server is removed, or present again.
+    pub fn set_removed(&self, server: usize, removed: bool) {
+        if let Some(known) = self.removed.borrow_mut().get_mut(server) {
+            *known = removed;
         }
-        self.look();
+        self.refresh();
     }
 
-    /// Takes in what the servers are by now; a new version, if that is new.
-    pub fn look(&self) {
+    /// Reads the current state of the servers, and publishes a new version if it has changed.
+    pub fn refresh(&self) {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = self.run.now();
-        let since = |started: Seconds| {
+        let start_time_ms = |started: Seconds| {
             let ago = Duration::from_secs_f64((now - started).max(0.0));
             wall.saturating_sub(ago).as_millis() as u64
         };
         let mut versions = self.versions.borrow_mut();
         let known = versions.last();
         let entry = |(n, server): (usize, &Rc<Server>)| Entry {
-            gone: self.gone.borrow()[n],
+            removed: self.removed.borrow()[n],
             draining: server.is_draining(),
-            // Said once: two readings of the clock differ by a little.
+            // The start time is computed from two clocks, so repeated readings differ by a few milliseconds.
+            // A value that differs by less than 50 ms from the published one doesn't count as a change.
             since_ms: match (server.started(), known.map(|version| version.entries[n].since_ms)) {
                 (None, _) => 0,
-                (Some(started), Some(said)) if said > 0 && since(started).abs_diff(said) < 50 => said,
-                (Some(started), _) => since(started),
+                (Some(started), Some(published))
+                    if published > 0 && start_time_ms(started).abs_diff(published) < 50 =>
+                {
+                    published
+                }
+                (Some(started), _) => start_time_ms(started),
             },
         };
         let entries: Vec<Entry> = self.servers.iter().enumerate().map(entry).collect();
         if versions.last().is_none_or(|version| version.entries != entries) {
-            // What is known first was always so.
+            // The first version holds since before the run.
             let at = if versions.is_empty() { f64::NEG_INFINITY } else { now };
             versions.push(Version { at, entries });
             self.newest.send_replace(versions.len());
         }
     }
 
-    /// What it tells by now counts as told to all once it has been sound for long enough, whether they asked or not.
-    pub async fn all_told(&self, servers: &[usize]) {
-        let due = || self.sound_since.get().max(0.0) + self.shape.notification_grace.as_secs_f64();
-        sleep(self.shape.notification_grace).await;
+    /// Counts all client proxies as notified of the drains of `servers` once discovery has worked without a
+    /// fault for the notification grace, whether they have polled or not.
+    pub async fn assume_notified(&self, servers: &[usize]) {
+        let due = || self.healthy_since.get().max(0.0) + self.settings.notification_grace.as_secs_f64();
+        sleep(self.settings.notification_grace).await;
         while self.run.now() < due() {
-            sleep(LOOK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
         }
         for &n in servers.iter().filter(|&&n| self.servers[n].is_draining()) {
             (0..self.addresses.len()).for_each(|proxy| self.servers[n].notify_draining(proxy));
         }
     }
 
-    /// Tells whoever waits that something is different, and notes whether it is sound by now.
-    fn changed(&self) {
-        let sound =
-            !self.down.get() && !self.silent.get() && self.lie.get().is_none() && self.stale.get() == 0.0;
-        self.sound_since.set(if sound { self.run.now() } else { f64::INFINITY });
+    /// Wakes waiting polls after a change of the faults, and updates since when there is none.
+    fn faults_changed(&self) {
+        let healthy =
+            !self.down.get() && !self.stalled.get() && self.lie.get().is_none() && self.stale.get() == 0.0;
+        self.healthy_since.set(if healthy { self.run.now() } else { f64::INFINITY });
         self.newest.send_modify(|_| ());
     }
 
-    /// Answers no call, and ends those that wait.
-    pub fn down(&self, down: bool) {
+    /// Sets whether it responds 503 to all polls, waiting ones included.
+    pub fn set_down(&self, down: bool) {
         self.down.set(down);
-        self.changed();
+        self.faults_changed();
     }
 
-    /// Tells what was true so long ago.
-    pub fn stale(&self, by: Seconds) {
-        self.stale.set(by);
-        self.changed();
+    /// Sets the age in seconds of the list that it serves; 0 for the current list.
+    pub fn set_stale(&self, age: Seconds) {
+        self.stale.set(age);
+        self.faults_changed();
     }
 
-    /// Takes calls and answers none, or answers them again.
-    pub fn silent(&self, silent: bool) {
-        self.silent.set(silent);
-        self.changed();
+    /// Sets whether polls are accepted without ever being answered.
+    pub fn set_stalled(&self, stalled: bool) {
+        self.stalled.set(stalled);
+        self.faults_changed();
     }
 
-    /// Tells this from now on, or what is so.
-    pub fn lie(&self, lie: Option<Lie>) {
+    /// Sets in which way the served lists are wrong; `None` for correct lists.
+    pub fn set_lie(&self, lie: Option<Lie>) {
         self.lie.set(lie);
         let mut versions = self.versions.borrow_mut();
-        // A version of its own, so that those who wait hear of it; and whoever was lied to hears all of what is so.
+        // A new version, so that waiting watches return; and whoever knows an older one gets a full snapshot.
         if let Some(Version { entries, .. }) = versions.last().cloned() {
-            self.whole_until.set(versions.len());
+            self.full_snapshot_until.set(versions.len());
             versions.push(Version { at: self.run.now(), entries });
         }
         drop(versions);
-        self.changed();
+        self.faults_changed();
     }
 
-    /// Takes calls in from one client proxy for as long as the play lasts. Gives the address for it.
+    /// Accepts polls of one client proxy until the end of the run. Returns the address for that proxy.
     ///
     /// # Errors
-    /// As the system says.
-    pub fn open(self: &Rc<Self>, proxy: usize, link: Rc<Link>) -> io::Result<SocketAddr> {
+    /// If no listening socket can be created.
+    pub fn listen(self: &Rc<Self>, proxy: usize, link: Rc<Link>) -> io::Result<SocketAddr> {
         let mut listener = LinkListener::open(link)?;
         let (address, discovery) = (listener.address(), Rc::clone(self));
         spawn_local(async move {
             loop {
                 let Ok(stream) = listener.accept().await else {
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_BACKOFF).await;
                     continue;
                 };
                 let discovery = Rc::clone(&discovery);
                 spawn_local(async move {
                     let service = service_fn(|request| {
                         let discovery = Rc::clone(&discovery);
-                        discovery.asked.borrow_mut()[proxy] = Some(address);
-                        async move { Ok::<_, Infallible>(discovery.answer(&request, proxy).await) }
+                        discovery.last_polled.borrow_mut()[proxy] = Some(address);
+                        async move { Ok::<_, Infallible>(discovery.respond(&request, proxy).await) }
                     });
-                    // A caller that breaks off asks again.
+                    // A client proxy whose poll fails polls again.
                     let _ = Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
             }
@@ -225,55 +233,55 @@
         Ok(address)
     }
 
-    /// Whether a client proxy has asked there last.
-    pub fn was_asked_at(&self, proxy: usize, address: SocketAddr) -> bool {
-        self.asked.borrow()[proxy] == Some(address)
+    /// Whether a client proxy's last poll went to `address`.
+    pub fn last_polled_at(&self, proxy: usize, address: SocketAddr) -> bool {
+        self.last_polled.borrow()[proxy] == Some(address)
     }
 
-    /// The version that is told at present, by its number.
-    fn told(&self) -> usize {
+    /// The number of the version that is served now.
+    fn served_version(&self) -> usize {
         let (versions, before) = (self.versions.borrow(), self.run.now() - self.stale.get());
         versions.iter().filter(|version| version.at <= before).count().max(1)
     }
 
-    async fn answer(&self, request: &Request<Incoming>, proxy: usize) -> Response<Full<Bytes>> {
+    async fn respond(&self, request: &Request<Incoming>, proxy: usize) -> Response<Full<Bytes>> {
         if request.uri().path() != "/v1/endpoints" {
-            return status(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         }
         let query = request.uri().query().unwrap_or_default();
-        let number = |name: &str| {
+        let parameter = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
             pairs.find(|(known, _)| *known == name).and_then(|(_, number)| number.parse::<u64>().ok())
         };
         if self.down.get() {
-            return status(StatusCode::SERVICE_UNAVAILABLE);
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
-        match timeout(self.shape.poll_timeout, self.turn.lock()).await {
-            Ok(_turn) => sleep(self.shape.poll_duration).await,
-            Err(_) => return status(StatusCode::SERVICE_UNAVAILABLE),
+        match timeout(self.settings.poll_timeout, self.poll_lock.lock()).await {
+            Ok(_poll_guard) => sleep(self.settings.poll_duration).await,
+            Err(_) => return empty_response(StatusCode::SERVICE_UNAVAILABLE),
         }
-        let after = number("after").map(|after| after as usize);
+        let after = parameter("after").map(|after| after as usize);
         if let Some(after) = after {
-            let wait = Duration::from_millis(number("wait_ms").unwrap_or(0)).min(WAIT_MOST);
+            let wait = Duration::from_millis(parameter("wait_ms").unwrap_or(0)).min(MAX_WATCH_WAIT);
             let mut newest = self.newest.subscribe();
-            let news = async {
-                while self.told() <= after && !self.down.get() {
-                    // What is told late comes up by time alone.
-                    let _ = timeout(LOOK_EVERY, newest.changed()).await;
+            let update = async {
+                while self.served_version() <= after && !self.down.get() {
+                    // A stale version becomes due by time alone, without a notification.
+                    let _ = timeout(CHECK_INTERVAL, newest.changed()).await;
                 }
             };
-            let _ = timeout(wait, news).await;
+            let _ = timeout(wait, update).await;
         }
-        let mut news = self.newest.subscribe();
-        while self.silent.get() {
-            let _ = news.changed().await;
+        let mut update = self.newest.subscribe();
+        while self.stalled.get() {
+            let _ = update.changed().await;
         }
         if self.down.get() {
-            return status(StatusCode::SERVICE_UNAVAILABLE);
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let told = self.told();
-        let knows = self.whole_until.get() + 1..=told;
-        let list = self.list(proxy, told, after.filter(|after| knows.contains(after)));
+        let version_number = self.served_version();
+        let delta_base = self.full_snapshot_until.get() + 1..=version_number;
+        let list = self.list(proxy, version_number, after.filter(|after| delta_base.contains(after)));
         let mut list = list.to_string();
         if self.lie.get() == Some(Lie::CutShort) {
             list.truncate(list.len() / 2);
@@ -281,31 +289,31 @@
         Response::new(Full::new(Bytes::from(list)))
     }
 
-    /// The whole list of a version, or what is new in it.
-    fn list(&self, proxy: usize, told: usize, after: Option<usize>) -> Value {
+    /// A version of the list as JSON: the changes since version `after`, or else a full snapshot.
+    fn list(&self, proxy: usize, version_number: usize, after: Option<usize>) -> Value {
         let versions = self.versions.borrow();
-        let version = &versions[told - 1];
+        let version = &versions[version_number - 1];
         let before = after.map(|after| &versions[after - 1]);
         let mut endpoints = Vec::new();
         for (n, (server, entry)) in self.servers.iter().zip(&version.entries).enumerate() {
-            if before.is_some_and(|before| before.entries[n] == *entry) || before.is_none() && entry.gone {
+            if before.is_some_and(|before| before.entries[n] == *entry) || before.is_none() && entry.removed {
                 continue;
             }
-            let left_out = match self.lie.get() {
+            let omitted = match self.lie.get() {
                 Some(Lie::Nobody) => true,
                 Some(Lie::Half) => n % 2 == 1,
                 Some(Lie::CutShort) | None => false,
             };
-            // Who is missing in a whole list is gone, as far as its reader can know.
-            if entry.draining || left_out {
+            // A client proxy has to treat a server that is missing in a full snapshot as removed.
+            if entry.draining || omitted {
                 server.notify_draining(proxy);
             } else {
                 server.notify_serving(proxy);
             }
-            if left_out {
+            if omitted {
                 continue;
             }
-            let state = match (entry.gone, entry.draining) {
+            let state = match (entry.removed, entry.draining) {
                 (true, _) => "DELETED",
                 (false, true) => "DRAINING",
                 (false, false) => "SERVING",
@@ -316,11 +324,11 @@
                 "group": server.traits.cell, "status": state, "weight": 1.0, "since_ms": entry.since_ms,
             }));
         }
-        json!({"index": told, "snapshot": before.is_none(), "endpoints": endpoints})
+        json!({"index": version_number, "snapshot": before.is_none(), "endpoints": endpoints})
     }
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/testbed/src/events.rs
+++ b/testbed/src/events.rs
@@ -163,7 +163,7 @@
                     sleep(pause).await;
                     let mut starts = Vec::new();
                     for n in proxies {
-                        self.proxies[n].folder(folder, &mut rng);
+                        self.proxies[n].prepare_state_folder(folder, &mut rng);
                         starts.push(spawn_local(Rc::clone(self).restart(n)));
                     }
                     for start in starts {
@@ -199,10 +199,10 @@
                 for n in proxies {
                     self.beside[n].fault_started(self.play.now());
                     self.proxies[n].signal(Signal::TERM);
-                    if !self.proxies[n].ended(EXIT_TIMEOUT).await {
+                    if !self.proxies[n].wait_for_exit(EXIT_TIMEOUT).await {
                         self.proxies[n].signal(Signal::KILL);
                     }
-                    self.proxies[n].folder(folder, &mut rng);
+                    self.proxies[n].prepare_state_folder(folder, &mut rng);
                     Rc::clone(self).restart(n).await;
                 }
             }
@@ -229,7 +229,7 @@
                 self.record_fault(format!("lose {} servers", servers.len()));
                 servers.iter().for_each(|&n| self.links.iter().for_each(|links| links[n].cut(true, true)));
                 sleep(known_after.min(lasts)).await;
-                servers.iter().for_each(|&n| self.discovery.gone(n, true));
+                servers.iter().for_each(|&n| self.discovery.set_removed(n, true));
                 sleep(lasts.saturating_sub(known_after)).await;
                 self.record_fault(format!("{} servers return cold", servers.len()));
                 for &n in &servers {
@@ -238,18 +238,18 @@
                         links[n].reset();
                         links[n].cut(false, false);
                     }
-                    self.discovery.gone(n, false);
+                    self.discovery.set_removed(n, false);
                 }
             }
             Fault::Drain { servers } => {
                 let servers = self.servers(&servers, &mut rng);
                 self.record_fault(format!("drain {} servers", servers.len()));
                 servers.iter().for_each(|&n| self.servers[n].drain());
-                self.discovery.look();
+                self.discovery.refresh();
                 let (discovery, drained) = (Rc::clone(&self.discovery), servers.clone());
-                spawn_local(async move { discovery.all_told(&drained).await });
+                spawn_local(async move { discovery.assume_notified(&drained).await });
                 sleep(DRAINED_SERVER_REMOVAL_DELAY).await;
-                servers.iter().for_each(|&n| self.discovery.gone(n, true));
+                servers.iter().for_each(|&n| self.discovery.set_removed(n, true));
             }
             Fault::Cut { links, lasts } => {
                 let ((forward, reverse), links) =
@@ -309,29 +309,29 @@
             }
             Fault::DiscoveryDown { lasts } => {
                 self.record_fault("discovery down".to_owned());
-                self.discovery.down(true);
+                self.discovery.set_down(true);
                 sleep(lasts).await;
-                self.discovery.down(false);
+                self.discovery.set_down(false);
             }
             Fault::DiscoverySilent { lasts } => {
                 self.record_fault("discovery silent".to_owned());
-                self.discovery.silent(true);
+                self.discovery.set_stalled(true);
                 sleep(lasts).await;
-                self.discovery.silent(false);
+                self.discovery.set_stalled(false);
             }
             Fault::DiscoveryLies { lie, lasts } => {
                 self.record_fault(format!("discovery lies: {lie:?}"));
-                self.discovery.lie(Some(lie));
+                self.discovery.set_lie(Some(lie));
                 sleep(lasts).await;
-                self.discovery.lie(None);
+                self.discovery.set_lie(None);
             }
             Fault::DiscoveryMoved {} => {
                 self.record_fault("discovery moves".to_owned());
                 let mut notified = Vec::new();
                 for (n, call) in self.discovery_links.iter().enumerate() {
                     let link = Link::new(stream(self.seed, &format!("link {n} discovery moved")));
-                    let moved = self.discovery.open(n, Rc::clone(&link));
-                    match moved.and_then(|address| self.proxies[n].moved(address).map(|()| address)) {
+                    let moved = self.discovery.listen(n, Rc::clone(&link));
+                    match moved.and_then(|address| self.proxies[n].set_discovery(address).map(|()| address)) {
                         Ok(address) => notified.push((n, address)),
                         Err(error) => self.record_fault(format!("client proxy {n} is not told: {error}")),
                     }
@@ -343,7 +343,7 @@
                     });
                 }
                 sleep(DISCOVERY_MOVE_GRACE).await;
-                let has_polled = |(n, address): &&(usize, _)| self.discovery.was_asked_at(*n, *address);
+                let has_polled = |(n, address): &&(usize, _)| self.discovery.last_polled_at(*n, *address);
                 let followed = notified.iter().filter(has_polled).count();
                 self.record_fault(format!("{followed} client proxies have followed discovery"));
             }
@@ -357,7 +357,7 @@
                     self.servers[n].restart();
                     self.links.iter().for_each(|links| links[n].reset());
                 }
-                self.discovery.look();
+                self.discovery.refresh();
                 sleep(lasts.mul_f64(0.2)).await;
                 self.record_fault(format!("{} servers put back", servers.len()));
                 self.set_operator_override(&servers, &proxies, false).await;
@@ -381,9 +381,9 @@
             }
             Fault::DiscoveryStale { by, lasts } => {
                 self.record_fault(format!("discovery {} s old", by.as_secs_f64()));
-                self.discovery.stale(by.as_secs_f64());
+                self.discovery.set_stale(by.as_secs_f64());
                 sleep(lasts).await;
-                self.discovery.stale(0.0);
+                self.discovery.set_stale(0.0);
             }
         }
     }
@@ -397,8 +397,9 @@
             spawn_local(async move {
                 let mut rejected = 0;
                 for m in servers {
-                    let accepted =
-                        environment.proxies[n].by_hand(&environment.servers[m].traits.name, disabled).await;
+                    let accepted = environment.proxies[n]
+                        .set_operator_override(&environment.servers[m].traits.name, disabled)
+                        .await;
                     if accepted {
                         environment.servers[m].set_operator_override(n, disabled);
                     } else {
@@ -498,7 +499,7 @@
 /// Samples the resource usage of the processes until cancelled.
 pub async fn sample_usage(proxies: Vec<Rc<Proxy>>, every: Duration) {
     loop {
-        proxies.iter().for_each(|proxy| proxy.look());
+        proxies.iter().for_each(|proxy| proxy.sample_usage());
         sleep(every).await;
     }
 }
@@ -510,8 +511,11 @@
     for (n, (proxy, beside)) in environment.proxies.iter().zip(&environment.beside).enumerate() {
         let (usage, interrupted) = (proxy.usage(), beside.had_fault(now, now));
         let violation = |rule, how: String| ledger.borrow_mut().record_violation(rule, now, &how);
-        if proxy.has_ended() && !interrupted {
-            violation(Rule::Crash, format!("client proxy {n} exited unexpectedly: {}", proxy.last_words()));
+        if proxy.has_exited() && !interrupted {
+            violation(
+                Rule::Crash,
+                format!("client proxy {n} exited unexpectedly: {}", proxy.last_log_lines()),
+            );
         }
         if usage.memory_mb > memory_mb as f64 {
             violation(
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The client proxies: the real program, one process each, as the platform starts it.
+//! The client proxies of a run: processes of the real program, started as the platform starts them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -26,38 +26,42 @@
 use crate::datagrams::Datagrams;
 use crate::scenario::{Scenario, Scope, Semantics, StateFolder};
 
-/// Against hanging only: a client proxy that is not ready by then never will be.
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-const ASK_WITHIN: Duration = Duration::from_secs(2);
-/// Of its log, the last lines are kept.
-const LINES: usize = 20;
+/// Upper bound on the start of a client proxy; beyond it the process counts as hanging.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which a process is checked for readiness or exit.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of one readiness check or operator command.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of log lines that are kept of each client proxy.
+const LOG_LINES: usize = 20;
+/// Port for clients; the operators' port of the nth process is `PORT + n`.
 const PORT: u16 = 5000;
-/// Where it hears its peers, behind the testbed's links.
+/// Port for peers, which reach it through the testbed's simulated datagram network.
 const PEER_PORT: u16 = 4900;
-const A_SECOND: Duration = Duration::from_secs(1);
+/// Minimum interval over which `busiest` is measured.
+const USAGE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Why the fleet cannot be played with.
+/// Why a client proxy could not be started.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// The system does not let it start.
+    /// The process could not be created.
     #[error("client proxy {0} does not start: {1}")]
     Start(usize, io::Error),
-    /// It is not ready in time.
-    #[error("client proxy {0} is not ready after {READY_WITHIN:?}; its last words: {1}")]
+    /// It was not ready within `READY_TIMEOUT`.
+    #[error("client proxy {0} is not ready after {READY_TIMEOUT:?}; its last words: {1}")]
     Ready(usize, String),
 }
 
-/// What a client proxy took of the machine.
+/// Resource usage of a client proxy.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Usage {
-    /// In seconds, of all its processes.
+    /// CPU time in seconds, summed over all its processes.
     pub cpu_s: f64,
-    /// The most at any time.
+    /// Peak resident memory in MiB.
     pub memory_mb: f64,
-    /// The most seen.
+    /// Largest sampled number of open file descriptors.
     pub descriptors: usize,
-    /// The most of a core in use over one second.
+    /// Largest share of a core used over at least one second.
     #[serde(default)]
     pub busiest: f64,
 }
@@ -67,33 +71,34 @@
     number: usize,
     binary: PathBuf,
     dir: PathBuf,
-    /// Where its clients find it.
+    /// Address that its clients connect to.
     pub address: SocketAddr,
     child: RefCell<Option<Child>>,
-    words: Rc<RefCell<VecDeque<String>>>,
+    log_lines: Rc<RefCell<VecDeque<String>>>,
     usage: RefCell<Usage>,
-    /// CPU time of the processes before the present one.
-    before: RefCell<f64>,
-    /// CPU time at the times of the last looks, a second back.
-    looks: RefCell<VecDeque<(Instant, f64)>>,
-    /// Whether it can write to files.
-    full: Cell<bool>,
-    /// Whether it has a second configuration file.
-    parts: bool,
-    /// The clients' listening socket, where the testbed holds it.
-    held: Option<std::net::TcpListener>,
-    /// How many processes there were.
+    /// CPU time in seconds of its earlier processes.
+    earlier_cpu_s: RefCell<f64>,
+    /// Samples of the CPU time in seconds over the last second.
+    cpu_samples: RefCell<VecDeque<(Instant, f64)>>,
+    /// Whether its disk is simulated as full: it can write to no file.
+    disk_full: Cell<bool>,
+    /// Whether it gets the second configuration file, `fleet.toml`.
+    has_fleet_file: bool,
+    /// The listening socket for clients, if the testbed owns it and the processes inherit it.
+    inherited: Option<std::net::TcpListener>,
+    /// Number of processes started so far.
     starts: Cell<u16>,
 }
 
-/// An address of this testbed's own for a client proxy: by its process number, so that two plays do not meet.
+/// Loopback address of a client proxy. It depends on the testbed's process id, so that concurrent runs don't
+/// collide.
 fn address(number: usize) -> SocketAddr {
     let process = std::process::id();
     let [_, _, high, low] = process.to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(127, 64 | (high & 63), low, 1 + number as u8), PORT))
 }
 
-/// What the platform tells a client proxy.
+/// The configuration that the platform gives a client proxy (`config.json`).
 fn config(scenario: &Scenario, number: usize, discovery: SocketAddr, seed: u64) -> Value {
     let ms = |time: Duration| time.as_secs_f64() * 1e3;
     let semantics = |semantics| match semantics {
@@ -107,17 +112,21 @@
         Scope::Cell => "cell",
     };
     let class = |c: &crate::scenario::Class| {
-        json!({"name": c.name, "aim": ms(c.latency_objective), "hardLimit": ms(c.client_timeout), "semantics": semantics(c.semantics),
-               "keyScope": scope(c.scope), "keyTtl": ms(c.key_ttl), "lateWorth": 0.0, "points": c.priority_weight, "streamed": false})
+        json!({"name": c.name, "aim": ms(c.latency_objective), "hardLimit": ms(c.client_timeout),
+               "semantics": semantics(c.semantics),
+               "keyScope": scope(c.scope), "keyTtl": ms(c.key_ttl), "lateWorth": 0.0,
+               "points": c.priority_weight, "streamed": false})
     };
     let Scenario { fleet, contract, .. } = scenario;
     let zones: Vec<&String> = scenario.zone.iter().map(|zone| &zone.name).collect();
     json!({
-        "name": format!("n{number}"), "listen": address(number).to_string(), "discovery": discovery.to_string(),
+        "name": format!("n{number}"), "listen": address(number).to_string(),
+        "discovery": discovery.to_string(),
         "seed": format!("{:x}", seed.wrapping_mul(1_000_003) + number as u64),
         "limits": {"cores": fleet.cores, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
         "settings": {
-            "me": number, "balancers": fleet.proxies, "callers": {"marksRetry": scenario.load.sends_resent_header},
+            "me": number, "balancers": fleet.proxies,
+            "callers": {"marksRetry": scenario.load.sends_resent_header},
             "classes": scenario.class.iter().map(class).collect::<Vec<_>>(),
             "contract": {"cold": ms(contract.warm_up_duration), "coldFrom": contract.initial_capacity_share,
                          "drainGrace": ms(contract.drain_grace), "fall": ms(contract.overload_window),
@@ -132,13 +141,13 @@
     })
 }
 
-/// Where a client proxy binds the socket for its peers.
+/// The address on which a client proxy binds its socket for peers.
 pub fn peer_address(number: usize) -> SocketAddr {
     SocketAddr::new(address(number).ip(), PEER_PORT)
 }
 
-/// The second configuration file of a client proxy.
-fn parts(scenario: &Scenario, number: usize, peers: Option<&Datagrams>) -> io::Result<toml::Table> {
+/// The second configuration file of a client proxy (`fleet.toml`).
+fn fleet_file(scenario: &Scenario, number: usize, peers: Option<&Datagrams>) -> io::Result<toml::Table> {
     let mut parts = scenario.fleet.parts.clone();
     if let Some(toml::Value::Table(zones)) = parts.get_mut("zones") {
         let own = &scenario.zone[number % scenario.zone.len()].name;
@@ -149,12 +158,12 @@
         let seeds: io::Result<Vec<toml::Value>> =
             others.map(|other| Ok(peers.address(other)?.to_string().into())).collect();
         let own = peers.address(number)?.to_string();
-        let told: [(&str, toml::Value); 3] = [
+        let own_settings: [(&str, toml::Value); 3] = [
             ("listen", peer_address(number).to_string().into()),
             ("advertise", own.into()),
             ("seeds", seeds?.into()),
         ];
-        for (key, value) in told {
+        for (key, value) in own_settings {
             membership.entry(key).or_insert(value);
         }
     }
@@ -162,10 +171,11 @@
 }
 
 impl Proxy {
-    /// One that finds discovery there; not started yet. Its files are in a folder of its own below `dir`.
+    /// Creates a client proxy, not yet started, that polls `discovery`. Its files are in a folder of its own
+    /// below `dir`.
     ///
     /// # Errors
-    /// As the system says.
+    /// If its files cannot be written or the inherited socket cannot be bound.
     pub fn new(
         scenario: &Scenario,
         number: usize,
@@ -178,20 +188,20 @@
         let dir = dir.join(format!("n{number}"));
         fs::create_dir_all(dir.join("tmp"))?;
         fs::write(dir.join("config.json"), config(scenario, number, discovery, seed).to_string())?;
-        fs::write(dir.join("fleet.toml"), parts(scenario, number, peers)?.to_string())?;
+        fs::write(dir.join("fleet.toml"), fleet_file(scenario, number, peers)?.to_string())?;
         Ok(Rc::new(Proxy {
             number,
             binary: binary.to_owned(),
             dir,
             address: address(number),
             child: RefCell::default(),
-            words: Rc::default(),
+            log_lines: Rc::default(),
             usage: RefCell::default(),
-            before: RefCell::default(),
-            looks: RefCell::default(),
-            full: Cell::new(false),
-            parts: !scenario.fleet.parts.is_empty(),
-            held: scenario.fleet.inherited.then(|| hold(address(number))).transpose()?,
+            earlier_cpu_s: RefCell::default(),
+            cpu_samples: RefCell::default(),
+            disk_full: Cell::new(false),
+            has_fleet_file: !scenario.fleet.parts.is_empty(),
+            inherited: scenario.fleet.inherited.then(|| listen(address(number))).transpose()?,
             starts: Cell::new(0),
         }))
     }
@@ -199,57 +209,62 @@
     /// Starts it, and waits until it is ready.
     ///
     /// # Errors
-    /// Where it does not start, or is not ready in time.
+    /// If it does not start or is not ready in time.
     pub async fn start(&self) -> Result<(), FleetError> {
         self.launch().map_err(|error| FleetError::Start(self.number, error))?;
-        let until = Instant::now() + READY_WITHIN;
-        while Instant::now() < until && !self.has_ended() {
-            if matches!(timeout(ASK_WITHIN, ask_ready(self.address)).await, Ok(Ok(true))) {
+        let until = Instant::now() + READY_TIMEOUT;
+        while Instant::now() < until && !self.has_exited() {
+            if matches!(timeout(REQUEST_TIMEOUT, is_ready(self.address)).await, Ok(Ok(true))) {
                 return Ok(());
             }
-            sleep(LOOK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        Err(FleetError::Ready(self.number, self.last_words()))
+        Err(FleetError::Ready(self.number, self.last_log_lines()))
     }
 
     fn launch(&self) -> io::Result<()> {
-        // A shell, which the program then replaces, has what is too long for a file end as an error, where it would end
-        // the process; it passes on a descriptor other than the standard ones; and where the system has setpriv, the program ends
-        // with the testbed even where that is killed.
+        // Started through a shell, which the program then replaces. The shell ignores SIGXFSZ, so that a
+        // write beyond the file size limit fails instead of ending the process. It passes the inherited
+        // socket on as descriptor 4. Where setpriv is installed, the program gets SIGKILL when the testbed
+        // ends, even if the testbed is killed.
         let mut command = Command::new("sh");
-        let full = if self.full.get() { "ulimit -S -f 0; " } else { "" };
-        let passed = if self.held.is_some() { "exec 4<&0 0</dev/null; " } else { "" };
-        let along = "command -v setpriv >/dev/null && exec setpriv --pdeathsig KILL \"$0\"; exec \"$0\"";
-        command.arg("-c").arg(format!("trap '' XFSZ; {full}{passed}{along}")).arg(&self.binary);
-        match &self.held {
+        let file_limit = if self.disk_full.get() { "ulimit -S -f 0; " } else { "" };
+        let pass_socket = if self.inherited.is_some() { "exec 4<&0 0</dev/null; " } else { "" };
+        let exec_program =
+            "command -v setpriv >/dev/null && exec setpriv --pdeathsig KILL \"$0\"; exec \"$0\"";
+        command
+            .arg("-c")
+            .arg(format!("trap '' XFSZ; {file_limit}{pass_socket}{exec_program}"))
+            .arg(&self.binary);
+        match &self.inherited {
             None => command.stdin(Stdio::null()),
-            Some(held) => command.stdin(OwnedFd::from(held.try_clone()?)),
+            Some(inherited) => command.stdin(OwnedFd::from(inherited.try_clone()?)),
         };
         let unset = ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_ADMIN_ADDR", "GW_INHERITED_FD", "GW_FLEET"];
         for name in unset {
             command.env_remove(name);
         }
         command.env("GW_CONFIG", self.dir.join("config.json")).env("TMPDIR", self.dir.join("tmp"));
-        if self.parts {
+        if self.has_fleet_file {
             command.env("GW_FLEET", self.dir.join("fleet.toml"));
         }
         self.starts.set(self.starts.get() + 1);
-        command.env("GW_ADMIN_ADDR", self.operators().to_string());
-        if self.held.is_some() {
+        command.env("GW_ADMIN_ADDR", self.admin_address().to_string());
+        if self.inherited.is_some() {
             command.env("GW_INHERITED_FD", "4");
         }
         command.stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
         let mut child = command.spawn()?;
         if let Some(log) = child.stderr.take() {
-            let words = Rc::clone(&self.words);
+            let log_lines = Rc::clone(&self.log_lines);
             spawn_local(async move {
                 let mut lines = BufReader::new(log).lines();
                 while let Ok(Some(line)) = lines.next_line().await {
-                    let mut words = words.borrow_mut();
-                    if words.len() == LINES {
-                        words.pop_front();
+                    let mut log_lines = log_lines.borrow_mut();
+                    if log_lines.len() == LOG_LINES {
+                        log_lines.pop_front();
                     }
-                    words.push_back(line);
+                    log_lines.push_back(line);
                 }
             });
         }
@@ -257,42 +272,44 @@
         Ok(())
     }
 
-    /// Where its present process answers operators: each process at an address of its own.
-    fn operators(&self) -> SocketAddr {
+    /// The operators' address of its current process. Each process has its own, since two run during an
+    /// upgrade.
+    fn admin_address(&self) -> SocketAddr {
         SocketAddr::new(self.address.ip(), PORT + self.starts.get())
     }
 
-    /// Replaces its process by another one while it serves. The old one is told to end when the next one is ready, and
-    /// has ended when this returns.
+    /// Replaces its process by a new one while it serves. The old process gets SIGTERM once the new one is
+    /// ready, and SIGKILL if it has not exited `exit_timeout` later; it has exited when this returns without
+    /// an error.
     ///
     /// # Errors
-    /// Where the next one does not start, or is not ready in time.
-    pub async fn upgrade(&self, end_within: Duration) -> Result<(), FleetError> {
+    /// If the new process does not start or is not ready in time.
+    pub async fn upgrade(&self, exit_timeout: Duration) -> Result<(), FleetError> {
         let old = self.child.take();
         let launched = self.launch();
         launched.map_err(|error| FleetError::Start(self.number, error))?;
-        let until = Instant::now() + READY_WITHIN;
-        while !matches!(timeout(ASK_WITHIN, ping(self.operators())).await, Ok(Ok(true))) {
-            if Instant::now() >= until || self.has_ended() {
-                return Err(FleetError::Ready(self.number, self.last_words()));
+        let until = Instant::now() + READY_TIMEOUT;
+        while !matches!(timeout(REQUEST_TIMEOUT, ping(self.admin_address())).await, Ok(Ok(true))) {
+            if Instant::now() >= until || self.has_exited() {
+                return Err(FleetError::Ready(self.number, self.last_log_lines()));
             }
-            sleep(LOOK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
         }
         let Some(mut old) = old else { return Ok(()) };
         if let Some(pid) = old.id().and_then(|id| Pid::from_raw(id as i32)) {
             let _ = kill_process(pid, Signal::TERM);
         }
-        if timeout(end_within, old.wait()).await.is_err() {
+        if timeout(exit_timeout, old.wait()).await.is_err() {
             let _ = old.kill().await;
         }
         Ok(())
     }
 
-    /// Discovery is there now: it is told by its configuration and SIGHUP.
+    /// Changes the address of discovery in its configuration and has it reload that with SIGHUP.
     ///
     /// # Errors
-    /// Where the configuration cannot be written.
-    pub fn moved(&self, discovery: SocketAddr) -> io::Result<()> {
+    /// If the configuration cannot be read or written.
+    pub fn set_discovery(&self, discovery: SocketAddr) -> io::Result<()> {
         let path = self.dir.join("config.json");
         let mut config: Value = serde_json::from_slice(&fs::read(&path)?)?;
         config["discovery"] = json!(discovery.to_string());
@@ -301,34 +318,35 @@
         Ok(())
     }
 
-    /// Has operators take an order server out there, or put it back; whether the client proxy said yes.
-    pub async fn by_hand(&self, server: &str, out: bool) -> bool {
-        let call = format!("{} {server}\n", if out { "DETACH" } else { "ATTACH" });
-        let answer = timeout(ASK_WITHIN, ask(self.operators(), &call)).await;
-        matches!(answer, Ok(Ok(answer)) if answer.starts_with("+OK"))
+    /// Disables an order server by an operator command, or enables it again. Returns whether the command was
+    /// accepted.
+    pub async fn set_operator_override(&self, server: &str, disabled: bool) -> bool {
+        let request = format!("{} {server}\n", if disabled { "DETACH" } else { "ATTACH" });
+        let response = timeout(REQUEST_TIMEOUT, exchange(self.admin_address(), &request)).await;
+        matches!(response, Ok(Ok(response)) if response.starts_with("+OK"))
     }
 
-    /// Lets it write nothing to files any more, or again.
+    /// Simulates a full disk by a file size limit of 0, or removes that limit.
     pub fn disk_full(&self, full: bool) {
-        self.full.set(full);
+        self.disk_full.set(full);
         let id = self.child.borrow().as_ref().and_then(Child::id);
         if let Some(pid) = id.and_then(|id| Pid::from_raw(id as i32)) {
             let maximum = getrlimit(Resource::Fsize).maximum;
             let current = if full { Some(0) } else { maximum };
-            // One that has ended needs no room.
+            // Fails if the process has exited, which needs no limit.
             let _ = prlimit(Some(pid), Resource::Fsize, Rlimit { current, maximum });
         }
     }
 
-    /// Takes its state folder away, or gives it back.
+    /// Moves its state folder away, or back.
     ///
     /// # Errors
-    /// As the system says.
-    pub fn disk_gone(&self, gone: bool) -> io::Result<()> {
+    /// If a file or folder cannot be moved, written or removed.
+    pub fn disk_gone(&self, removed: bool) -> io::Result<()> {
         let (folder, aside) = (self.dir.join("tmp"), self.dir.join("tmp-aside"));
-        if gone {
+        if removed {
             fs::rename(&folder, &aside)?;
-            // In its place something that is no folder, so that nobody makes another one.
+            // A file in its place keeps the client proxy from creating the folder again.
             fs::write(&folder, "")
         } else {
             fs::remove_file(&folder)?;
@@ -336,8 +354,9 @@
         }
     }
 
-    /// Puts its state folder into this state. What cannot be changed stays, which the next start shows.
-    pub fn folder(&self, folder: StateFolder, rng: &mut Pcg32) {
+    /// Keeps, empties or corrupts the files in its state folder. A file that cannot be changed stays as it
+    /// is, which shows at the next start.
+    pub fn prepare_state_folder(&self, folder: StateFolder, rng: &mut Pcg32) {
         let dir = self.dir.join("tmp");
         let files = fs::read_dir(&dir).into_iter().flatten().filter_map(|entry| Some(entry.ok()?.path()));
         for file in files {
@@ -357,17 +376,17 @@
         }
     }
 
-    /// The end of its log.
-    pub fn last_words(&self) -> String {
-        self.words.borrow().iter().cloned().collect::<Vec<_>>().join(" | ")
+    /// The last lines of its log.
+    pub fn last_log_lines(&self) -> String {
+        self.log_lines.borrow().iter().cloned().collect::<Vec<_>>().join(" | ")
     }
 
-    /// Whether its process has ended, or was never started.
-    pub fn has_ended(&self) -> bool {
+    /// Whether its process has exited, or was never started.
+    pub fn has_exited(&self) -> bool {
         self.child.borrow_mut().as_mut().is_none_or(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Sends its process a signal. One that has ended takes none.
+    /// Sends its process a signal; without effect if the process has exited.
     pub fn signal(&self, signal: Signal) {
         let id = self.child.borrow().as_ref().and_then(Child::id);
         if let Some(pid) = id.and_then(|id| Pid::from_raw(id as i32)) {
@@ -375,43 +394,43 @@
         }
     }
 
-    /// Waits until its process has ended; whether it did in time.
-    pub async fn ended(&self, within: Duration) -> bool {
+    /// Waits until its process has exited. Returns whether it did so in time.
+    pub async fn wait_for_exit(&self, within: Duration) -> bool {
         let until = Instant::now() + within;
-        while !self.has_ended() {
+        while !self.has_exited() {
             if Instant::now() >= until {
                 return false;
             }
-            sleep(LOOK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        *self.before.borrow_mut() = self.usage.borrow().cpu_s;
+        *self.earlier_cpu_s.borrow_mut() = self.usage.borrow().cpu_s;
         true
     }
 
-    /// Takes in what it uses by now.
-    pub fn look(&self) {
+    /// Samples its resource usage.
+    pub fn sample_usage(&self) {
         let id = self.child.borrow().as_ref().and_then(Child::id);
         let Some(id) = id else { return };
         let dir = PathBuf::from(format!("/proc/{id}"));
         let mut usage = self.usage.borrow_mut();
         if let Ok(stat) = fs::read_to_string(dir.join("stat")) {
-            // After the name, which may hold anything, in brackets.
+            // The fields after the program's name, which is in parentheses and may contain any character.
             let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
             let ticks = [11, 12].iter().filter_map(|n| fields.get(*n)?.parse::<f64>().ok()).sum::<f64>();
-            usage.cpu_s = *self.before.borrow() + ticks / 100.0;
-            let (mut looks, now) = (self.looks.borrow_mut(), Instant::now());
-            looks.push_back((now, usage.cpu_s));
-            while looks.get(1).is_some_and(|(at, _)| *at + A_SECOND <= now) {
-                looks.pop_front();
+            usage.cpu_s = *self.earlier_cpu_s.borrow() + ticks / 100.0;
+            let (mut cpu_samples, now) = (self.cpu_samples.borrow_mut(), Instant::now());
+            cpu_samples.push_back((now, usage.cpu_s));
+            while cpu_samples.get(1).is_some_and(|(at, _)| *at + USAGE_WINDOW <= now) {
+                cpu_samples.pop_front();
             }
-            if let Some((from, before)) = looks.front().filter(|(at, _)| *at + A_SECOND <= now) {
+            if let Some((from, before)) = cpu_samples.front().filter(|(at, _)| *at + USAGE_WINDOW <= now) {
                 let used = (usage.cpu_s - before) / (now - *from).as_secs_f64();
                 usage.busiest = usage.busiest.max(used);
             }
         }
         if let Ok(status) = fs::read_to_string(dir.join("status")) {
-            let most = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-            let kb = most.and_then(|most| most.split_whitespace().next()?.parse::<f64>().ok());
+            let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+            let kb = peak.and_then(|peak| peak.split_whitespace().next()?.parse::<f64>().ok());
             usage.memory_mb = usage.memory_mb.max(kb.unwrap_or(0.0) / 1024.0);
         }
         if let Ok(open) = fs::read_dir(dir.join("fd")) {
@@ -419,14 +438,14 @@
         }
     }
 
-    /// What it used so far.
+    /// Its resource usage so far.
     pub fn usage(&self) -> Usage {
         *self.usage.borrow()
     }
 }
 
-/// Listens for a client proxy that is to take the socket over.
-fn hold(address: SocketAddr) -> io::Result<std::net::TcpListener> {
+/// Opens the listening socket that a client proxy inherits.
+fn listen(address: SocketAddr) -> io::Result<std::net::TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
@@ -434,21 +453,21 @@
     Ok(socket.into())
 }
 
-/// Whether the process that answers operators there is ready.
-async fn ping(operators: SocketAddr) -> io::Result<bool> {
-    Ok(ask(operators, "PING\n").await?.starts_with("+OK"))
+/// Whether the process with this operators' address is ready.
+async fn ping(admin_address: SocketAddr) -> io::Result<bool> {
+    Ok(exchange(admin_address, "PING\n").await?.starts_with("+OK"))
 }
 
-async fn ask_ready(address: SocketAddr) -> io::Result<bool> {
-    let call = "GET /ready HTTP/1.1\r\nHost: origin.svc\r\nConnection: close\r\n\r\n";
-    Ok(ask(address, call).await?.starts_with("HTTP/1.1 200"))
+async fn is_ready(address: SocketAddr) -> io::Result<bool> {
+    let request = "GET /ready HTTP/1.1\r\nHost: origin.svc\r\nConnection: close\r\n\r\n";
+    Ok(exchange(address, request).await?.starts_with("HTTP/1.1 200"))
 }
 
-/// All that comes back over a connection of its own.
-async fn ask(address: SocketAddr, call: &str) -> io::Result<String> {
+/// Sends `call` on a new connection and reads the response until the peer closes it.
+async fn exchange(address: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect(address).await?;
-    stream.write_all(call.as_bytes()).await?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await?;
-    Ok(answer)
+    stream.write_all(request.as_bytes()).await?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await?;
+    Ok(response)
 }
--- a/testbed/src/run.rs
+++ b/testbed/src/run.rs
@@ -221,7 +221,7 @@
     drop(faults);
     environment.proxies.iter().for_each(|proxy| proxy.signal(Signal::TERM));
     for (n, proxy) in environment.proxies.iter().enumerate() {
-        if !proxy.ended(EXIT_TIMEOUT).await {
+        if !proxy.wait_for_exit(EXIT_TIMEOUT).await {
             let description = format!("client proxy {n} did not exit within {EXIT_TIMEOUT:?} of SIGTERM");
             let now = play.now();
             play.ledger.borrow_mut().record_violation(Rule::Crash, now, &description);
@@ -287,7 +287,7 @@
     let mut calls = Vec::new();
     for number in 0..scenario.fleet.proxies {
         let link = Link::new(stream(options.seed, &format!("link {number} discovery")));
-        let discovery_address = discovery.open(number, Rc::clone(&link))?;
+        let discovery_address = discovery.listen(number, Rc::clone(&link))?;
         calls.push(RefCell::new(link));
         let peers = peers.as_deref();
         proxies.push(Proxy::new(
--- a/testbed/src/saturate.rs
+++ b/testbed/src/saturate.rs
@@ -95,10 +95,10 @@
     let (proxy, class) = (&world.proxies[0], &scenario.class[0]);
     let one = ask(proxy, class, 1, 1, ALONE).await?;
     ask(proxy, class, THREADS, clients, WARM_UP).await?;
-    proxy.look();
+    proxy.sample_usage();
     let (before, from) = (proxy.usage().cpu_s, Instant::now());
     let all = ask(proxy, class, THREADS, clients, lasts).await?;
-    proxy.look();
+    proxy.sample_usage();
     let (cpu, took) = (proxy.usage().cpu_s - before, from.elapsed().as_secs_f64());
     silent.store(true, Ordering::Relaxed);
     let open = Arc::new(AtomicUsize::new(0));
@@ -113,7 +113,7 @@
         });
     }
     sleep(SETTLE).await;
-    proxy.look();
+    proxy.sample_usage();
     let served = all.latency.len();
     Ok(Saturated {
         per_second: served as f64 / took,
