--- a/fault-injection/src/transfers.rs
+++ b/fault-injection/src/transfers.rs
@@ -47,8 +47,10 @@
             let length = usize::try_from(count).unwrap_or(0);
             // SAFETY: the caller passes `count` buffers, as the C function requires.
             let shortened = unsafe { shorten_buffers(&effect, buffers, length) };
-            let (buffers, count) = shortened.as_ref().map_or((buffers, count), |shortened| (&raw const *shortened, 1));
-            let transferred = call_next!($name(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t);
+            let (buffers, count) =
+                shortened.as_ref().map_or((buffers, count), |shortened| (&raw const *shortened, 1));
+            let transferred =
+                call_next!($name(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t);
             effect.after_call(descriptor);
             transferred
         }
@@ -75,7 +77,8 @@
             // SAFETY: not null, so it points to the caller's message.
             let mut short_message: msghdr = unsafe { *caller_message };
             // SAFETY: the message has `msg_iovlen` buffers, as the C function requires.
-            let mut shortened = unsafe { shorten_buffers(&effect, short_message.msg_iov, short_message.msg_iovlen as usize) };
+            let mut shortened =
+                unsafe { shorten_buffers(&effect, short_message.msg_iov, short_message.msg_iovlen as usize) };
             if let Some(shortened) = shortened.as_mut() {
                 (short_message.msg_iov, short_message.msg_iovlen) = (&raw mut *shortened, 1);
             }
--- a/fault-injection/tests/calls.rs
+++ b/fault-injection/tests/calls.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn kill_happens_before_call_or_after_short_transfer() {
+fn kill_precedes_call_or_follows_short_transfer() {
     let directory = TestDirectory::new();
     directory.write_plan(&json!({"rules": [{"call": "rename", "path": "affected", "kill": true}]}));
     let (results, status, _) = directory.run(&["fsync", "rename:affected", "fsync"]);
