--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -152,7 +152,7 @@
     /// The connection was closed without a response; true if it was a reused connection.
     Closed(bool),
     /// No connection could be established, so the request was not sent.
-    ConnectFailed,
+    Unreached,
 }
 
 impl Clients {
@@ -264,7 +264,7 @@
                 return (Ending::Rejected, retry_after);
             }
             Ok(TryResult::Response(..)) => (Ending::Failed, None),
-            Ok(TryResult::ConnectFailed) => (Ending::Failed, None),
+            Ok(TryResult::Unreached) => (Ending::Failed, None),
             Ok(TryResult::Closed(_)) => (Ending::Failed, Some("was closed on without an answer")),
             Err(_) if timing.disconnects_at.is_some() => return (Ending::Disconnected, None),
             Err(_) => (Ending::TimedOut, Some("had no answer")),
@@ -298,16 +298,10 @@
         }
     }
 
-    async fn send_once(
-        &self,
-        txn: Txn,
-        class: &Class,
-        client_proxy: &ClientProxy,
-        timing: &TryTiming,
-    ) -> TryResult {
+    async fn send_once(&self, txn: Txn, class: &Class, proxy: &ClientProxy, timing: &TryTiming) -> TryResult {
         let mut kept = None;
         loop {
-            let Some(mut idle) = client_proxy.idle.borrow_mut().pop() else { break };
+            let Some(mut idle) = proxy.idle.borrow_mut().pop() else { break };
             if idle.ready().await.is_ok() {
                 kept = Some(idle);
                 break;
@@ -317,9 +311,7 @@
         let mut sender = match kept {
             Some(sender) => sender,
             None => {
-                let Ok(stream) = TcpStream::connect(client_proxy.address).await else {
-                    return TryResult::ConnectFailed;
-                };
+                let Ok(stream) = TcpStream::connect(proxy.address).await else { return TryResult::Unreached };
                 let _ = stream.set_nodelay(true);
                 let Ok((sender, connection)) = handshake(TokioIo::new(stream)).await else {
                     return TryResult::Closed(false);
@@ -339,7 +331,7 @@
             .map(Duration::from_secs_f64);
         let body = body.collect().await.ok().map(http_body_util::Collected::to_bytes);
         if body.is_some() {
-            client_proxy.idle.borrow_mut().push(sender);
+            proxy.idle.borrow_mut().push(sender);
         }
         TryResult::Response(head.status, retry_after, body)
     }
