--- a/testbed/src/scale/depth.rs
+++ b/testbed/src/scale/depth.rs
@@ -122,7 +122,7 @@
             counts: Counts::default(),
             rng: stream(rng.next_u64(), "leaf"),
         };
-        let endpoint = |n| EndpointEntry::new(EndpointId(n));
+        let endpoint = |id| EndpointEntry::new(EndpointId(id));
         for level in 0..depth as usize {
             tree.process(
                 level,
--- a/testbed/src/scale/depth/tests.rs
+++ b/testbed/src/scale/depth/tests.rs
@@ -26,7 +26,7 @@
 /// Budgets of each level multiply to 1.15^8, while one budget of the whole tree gives 1.1. Other numbers mean
 /// that a budget grants more or fewer retries than its share.
 #[test]
-fn level_budgets_multiply_and_tree_budget_does_not() {
+fn level_budgets_multiply_tree_budget_does_not() {
     let budget_per_level = (0..8).map(|_| Budget::new(RETRY_SHARE)).collect();
     let (by_level, _) = simulate_budgets(budget_per_level, 8, 1.0, &mut rng());
     assert!((by_level / 1.15f64.powi(8) - 1.0).abs() < 0.02, "{by_level}");
--- a/testbed/src/scale/law/tests.rs
+++ b/testbed/src/scale/law/tests.rs
@@ -3,7 +3,7 @@
 /// Rounding the sizes down loses endpoints; without the remainder being distributed the fleet would be too
 /// small.
 #[test]
-fn service_sizes_are_skewed_and_sum_to_fleet() {
+fn service_sizes_are_skewed_and_complete() {
     let sizes = sizes();
     assert_eq!((sizes.len(), sizes.iter().sum::<u32>()), (SERVICES, ENDPOINTS));
     assert!(sizes.is_sorted_by(|larger, smaller| larger >= smaller) && sizes[SERVICES - 1] >= 1);
--- a/testbed/src/scale/page/number.rs
+++ b/testbed/src/scale/page/number.rs
@@ -84,8 +84,8 @@
     let (integer, fraction) = text.split_once('.').unwrap_or((&text, ""));
     let (sign, integer) = integer.strip_prefix('-').map_or(("", integer), |integer| ("-", integer));
     let mut grouped = sign.to_owned();
-    for (n, digit) in integer.char_indices() {
-        if n > 0 && (integer.len() - n) % 3 == 0 {
+    for (index, digit) in integer.char_indices() {
+        if index > 0 && (integer.len() - index) % 3 == 0 {
             grouped.push(',');
         }
         grouped.push(digit);
--- a/testbed/src/scale/page/working.rs
+++ b/testbed/src/scale/page/working.rs
@@ -96,11 +96,11 @@
     pub fn evaluate(&mut self, row: &Row) -> Result<Evaluated, String> {
         let mut sum =
             Evaluated { number: (!row.sum.is_empty()).then_some(Number::exact(0.0)), ..Evaluated::default() };
-        for (n, product) in row.sum.iter().enumerate() {
+        for (index, product) in row.sum.iter().enumerate() {
             let product = self.product(product)?;
             sum.add_sources(&product);
             sum.number = sum.number.zip(product.number).map(|(left, right)| left + right);
-            sum.text += if n > 0 { " + " } else { "" };
+            sum.text += if index > 0 { " + " } else { "" };
             sum.text += &product.text;
         }
         if let Some(name) = &row.name {
@@ -115,7 +115,7 @@
 
     fn product(&self, factors: &[Factor]) -> Result<Evaluated, String> {
         let mut product = Evaluated { number: Some(Number::exact(1.0)), ..Evaluated::default() };
-        for (n, factor) in factors.iter().enumerate() {
+        for (index, factor) in factors.iter().enumerate() {
             let (sign, evaluated) = match factor {
                 Factor::Per(per) => ("÷", self.value(&per.per)?),
                 Factor::Value(value) => ("×", self.value(value)?),
@@ -127,7 +127,7 @@
                 .number
                 .zip(evaluated.number)
                 .map(|(left, right)| if sign == "÷" { left / right } else { left * right });
-            match (n, sign) {
+            match (index, sign) {
                 (0, "×") => {}
                 (0, _) => product.text += "1 ÷ ",
                 _ => product.text += &format!(" {sign} "),
--- a/testbed/src/scale/virtual_fleet.rs
+++ b/testbed/src/scale/virtual_fleet.rs
@@ -48,26 +48,26 @@
         watcher: u32,
         token: u64,
     },
-    Dial {
+    SendPoll {
         watcher: u32,
     },
-    TimedOut(CallId),
-    LongPollEnded(CallId),
+    TimedOut(PollId),
+    LongPollEnded(PollId),
     /// Discovery has processed the first job of its queue.
     JobDone,
     /// A response has arrived, with the changes from version `after` (a full snapshot if `None`) to
     /// `version`.
     Response {
-        call: CallId,
+        poll: PollId,
         after: Option<u64>,
         version: u64,
     },
-    ConnectionFailed(CallId),
+    ConnectionFailed(PollId),
 }
 
 /// Identifies one poll of one watcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct CallId {
+struct PollId {
     watcher: u32,
     number: u32,
 }
@@ -75,9 +75,12 @@
 struct Watcher {
     proxy: ControlOnlyProxy,
     /// The number of the most recent poll, and whether it is still in flight.
-    call: u32,
+    last_poll: u32,
     in_flight: bool,
+    /// Whether the poll waits at discovery for a change.
     parked: bool,
+    /// The version that the poll stated, or `None` for a full snapshot; its maximum wait; and when it was
+    /// sent.
     after: Option<u64>,
     wait: Millis,
     sent_at: Millis,
@@ -91,14 +94,14 @@
 
 #[derive(Clone, Copy)]
 enum Job {
-    Accept(CallId),
-    Respond(CallId),
+    Accept(PollId),
+    Respond(PollId),
 }
 
 /// Counters since the last reset.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Counts {
-    calls: f64,
+    polls: f64,
     failed: f64,
     bytes: f64,
 }
@@ -109,7 +112,7 @@
     service_time: Millis,
     jobs: VecDeque<Job>,
     /// Long polls waiting for a change, oldest first.
-    parked: VecDeque<CallId>,
+    parked: VecDeque<PollId>,
     down: bool,
     /// The endpoint whose process was replaced, for each version from 2 on.
     changes: Vec<u32>,
@@ -126,7 +129,7 @@
         let proxies: Result<Vec<ControlOnlyProxy>, ScaleError> = (0..watchers).map(proxy).collect();
         let watcher = |proxy| Watcher {
             proxy,
-            call: 0,
+            last_poll: 0,
             in_flight: false,
             parked: false,
             after: None,
@@ -171,7 +174,7 @@
         for step in next_steps {
             match step {
                 NextStep::Poll { delay_ms } => {
-                    self.timeline.schedule_after(delay_ms, SimEvent::Dial { watcher })
+                    self.timeline.schedule_after(delay_ms, SimEvent::SendPoll { watcher })
                 }
                 NextStep::Timer { at, token } => {
                     self.timeline.schedule_at(at, SimEvent::Timer { watcher, token })
@@ -187,9 +190,9 @@
         }
     }
 
-    fn is_in_flight(&self, call: CallId) -> bool {
-        let watcher = &self.watchers[call.watcher as usize];
-        watcher.in_flight && watcher.call == call.number
+    fn is_in_flight(&self, poll: PollId) -> bool {
+        let watcher = &self.watchers[poll.watcher as usize];
+        watcher.in_flight && watcher.last_poll == poll.number
     }
 
     fn handle(&mut self, event: SimEvent) {
@@ -200,46 +203,46 @@
                 self.watchers[watcher as usize].proxy.on_timer(now, token, &mut next_steps);
                 self.apply(watcher, next_steps);
             }
-            SimEvent::Dial { watcher } => self.poll(watcher),
-            SimEvent::TimedOut(call) | SimEvent::ConnectionFailed(call) if self.is_in_flight(call) => {
-                self.fail_call(call)
+            SimEvent::SendPoll { watcher } => self.send_poll(watcher),
+            SimEvent::TimedOut(poll) | SimEvent::ConnectionFailed(poll) if self.is_in_flight(poll) => {
+                self.fail_poll(poll)
             }
             SimEvent::TimedOut(_) | SimEvent::ConnectionFailed(_) => {}
-            SimEvent::LongPollEnded(call) => {
-                let watcher = &mut self.watchers[call.watcher as usize];
-                if watcher.parked && watcher.call == call.number {
+            SimEvent::LongPollEnded(poll) => {
+                let watcher = &mut self.watchers[poll.watcher as usize];
+                if watcher.parked && watcher.last_poll == poll.number {
                     watcher.parked = false;
-                    self.enqueue(Job::Respond(call));
+                    self.enqueue(Job::Respond(poll));
                 }
             }
             SimEvent::JobDone => self.finish_job(),
-            SimEvent::Response { call, after, version } => self.deliver_response(call, after, version),
+            SimEvent::Response { poll, after, version } => self.deliver_response(poll, after, version),
         }
     }
 
-    fn poll(&mut self, number: u32) {
+    fn send_poll(&mut self, watcher_index: u32) {
         let now = self.now();
-        let watcher = &mut self.watchers[number as usize];
-        let call = watcher.proxy.next_poll();
-        watcher.call += 1;
-        (watcher.in_flight, watcher.parked, watcher.after, watcher.sent_at) = (true, false, call.after, now);
-        watcher.wait = call.wait.as_secs_f64() * 1e3;
-        let id = CallId { watcher: number, number: watcher.call };
-        self.counts.calls += 1.0;
+        let watcher = &mut self.watchers[watcher_index as usize];
+        let poll = watcher.proxy.next_poll();
+        watcher.last_poll += 1;
+        (watcher.in_flight, watcher.parked, watcher.after, watcher.sent_at) = (true, false, poll.after, now);
+        watcher.wait = poll.wait.as_secs_f64() * 1e3;
+        let id = PollId { watcher: watcher_index, number: watcher.last_poll };
+        self.counts.polls += 1.0;
         if self.down {
             return self.timeline.schedule_after(ROUND_TRIP_MS, SimEvent::ConnectionFailed(id));
         }
-        self.timeline.schedule_after(call.timeout.as_secs_f64() * 1e3, SimEvent::TimedOut(id));
+        self.timeline.schedule_after(poll.timeout.as_secs_f64() * 1e3, SimEvent::TimedOut(id));
         self.enqueue(Job::Accept(id));
     }
 
-    fn fail_call(&mut self, call: CallId) {
+    fn fail_poll(&mut self, poll: PollId) {
         let now = self.now();
-        let (watcher, mut next_steps) = (&mut self.watchers[call.watcher as usize], Vec::new());
+        let (watcher, mut next_steps) = (&mut self.watchers[poll.watcher as usize], Vec::new());
         (watcher.in_flight, watcher.parked) = (false, false);
         watcher.proxy.on_failure(now, false, &mut next_steps);
         self.counts.failed += 1.0;
-        self.apply(call.watcher, next_steps);
+        self.apply(poll.watcher, next_steps);
     }
 
     fn enqueue(&mut self, job: Job) {
@@ -251,30 +254,30 @@
 
     fn finish_job(&mut self) {
         match self.jobs.pop_front() {
-            Some(Job::Accept(call)) if self.is_in_flight(call) => {
+            Some(Job::Accept(poll)) if self.is_in_flight(poll) => {
                 let (now, version) = (self.now(), self.version());
-                let watcher = &mut self.watchers[call.watcher as usize];
+                let watcher = &mut self.watchers[poll.watcher as usize];
                 if watcher.after == Some(version) && watcher.wait > 0.0 {
                     watcher.parked = true;
                     let ends_at = now + watcher.wait;
-                    self.parked.push_back(call);
-                    self.timeline.schedule_at(ends_at, SimEvent::LongPollEnded(call));
+                    self.parked.push_back(poll);
+                    self.timeline.schedule_at(ends_at, SimEvent::LongPollEnded(poll));
                 } else {
                     // There is a change to send or no wait was requested: respond right after accepting.
-                    self.jobs.push_front(Job::Respond(call));
+                    self.jobs.push_front(Job::Respond(poll));
                 }
             }
-            Some(Job::Respond(call)) if self.is_in_flight(call) => {
-                let after = self.watchers[call.watcher as usize].after;
+            Some(Job::Respond(poll)) if self.is_in_flight(poll) => {
+                let after = self.watchers[poll.watcher as usize].after;
                 let version = self.version();
-                self.timeline.schedule_after(ROUND_TRIP_MS, SimEvent::Response { call, after, version });
+                self.timeline.schedule_after(ROUND_TRIP_MS, SimEvent::Response { poll, after, version });
             }
             _ => {}
         }
         // Abandoned polls are dropped here without service time; otherwise an overloaded discovery would
         // spend its time on a queue of polls that have already timed out.
-        while let Some(&(Job::Accept(call) | Job::Respond(call))) = self.jobs.front()
-            && !self.is_in_flight(call)
+        while let Some(&(Job::Accept(poll) | Job::Respond(poll))) = self.jobs.front()
+            && !self.is_in_flight(poll)
         {
             self.jobs.pop_front();
         }
@@ -283,14 +286,14 @@
         }
     }
 
-    fn deliver_response(&mut self, call: CallId, after: Option<u64>, version: u64) {
-        if !self.is_in_flight(call) {
+    fn deliver_response(&mut self, poll: PollId, after: Option<u64>, version: u64) {
+        if !self.is_in_flight(poll) {
             return;
         }
         let response_body = self.response_body(after, version);
         self.counts.bytes += response_body.len() as f64 + RESPONSE_HEAD_BYTES;
         let (now, target_version) = (self.now(), self.target_version);
-        let (watcher, mut next_steps) = (&mut self.watchers[call.watcher as usize], Vec::new());
+        let (watcher, mut next_steps) = (&mut self.watchers[poll.watcher as usize], Vec::new());
         watcher.in_flight = false;
         // If the body is unusable, `proxy` has already treated the poll as failed, and `next_steps` has what
         // follows.
@@ -305,7 +308,7 @@
         } else {
             self.counts.failed += 1.0;
         }
-        self.apply(call.watcher, next_steps);
+        self.apply(poll.watcher, next_steps);
     }
 
     /// The encoded changes from version `after` to `version`, or a full snapshot if `after` is `None`.
@@ -334,11 +337,11 @@
     /// Replaces the process of this endpoint, which makes a new version, and answers all waiting long polls.
     fn change_endpoint(&mut self, endpoint: u32) {
         self.changes.push(endpoint);
-        for call in std::mem::take(&mut self.parked) {
-            let watcher = &mut self.watchers[call.watcher as usize];
-            if watcher.parked && watcher.call == call.number {
+        for poll in std::mem::take(&mut self.parked) {
+            let watcher = &mut self.watchers[poll.watcher as usize];
+            if watcher.parked && watcher.last_poll == poll.number {
                 watcher.parked = false;
-                self.enqueue(Job::Respond(call));
+                self.enqueue(Job::Respond(poll));
             }
         }
     }
@@ -362,10 +365,11 @@
         self.jobs.clear();
         self.parked.clear();
         self.timeline.retain(|event| *event != SimEvent::JobDone);
-        for (n, watcher) in self.watchers.iter_mut().enumerate().filter(|(_, watcher)| watcher.in_flight) {
+        for (index, watcher) in self.watchers.iter_mut().enumerate().filter(|(_, watcher)| watcher.in_flight)
+        {
             watcher.parked = false;
-            let call = CallId { watcher: n as u32, number: watcher.call };
-            self.timeline.schedule_after(ROUND_TRIP_MS / 2.0, SimEvent::ConnectionFailed(call));
+            let poll = PollId { watcher: index as u32, number: watcher.last_poll };
+            self.timeline.schedule_after(ROUND_TRIP_MS / 2.0, SimEvent::ConnectionFailed(poll));
         }
     }
 }
@@ -387,8 +391,8 @@
     fleet.counts = Counts::default();
     fleet.run_until(WARM_UP_MS + IDLE_MS);
     let idle = std::mem::take(&mut fleet.counts);
-    figures.push(("calls_s".to_owned(), idle.calls / (IDLE_MS / 1e3)));
-    figures.push(("failed_share".to_owned(), idle.failed / idle.calls.max(1.0)));
+    figures.push(("calls_s".to_owned(), idle.polls / (IDLE_MS / 1e3)));
+    figures.push(("failed_share".to_owned(), idle.failed / idle.polls.max(1.0)));
     figures.push(("down_bytes_s_watcher".to_owned(), idle.bytes / (IDLE_MS / 1e3) / watcher_count));
 
     // The change comes at a random point of a long poll's wait.
@@ -403,8 +407,8 @@
 
     let (zone, began) = (rng.next_u32() % ENDPOINTS_PER_WATCHER, fleet.now());
     fleet.set_target_version(fleet.version() + u64::from(ZONE_SERVERS));
-    for n in 1..=ZONE_SERVERS {
-        fleet.run_until(began + ZONE_CHANGES_MS * f64::from(n) / f64::from(ZONE_SERVERS));
+    for change in 1..=ZONE_SERVERS {
+        fleet.run_until(began + ZONE_CHANGES_MS * f64::from(change) / f64::from(ZONE_SERVERS));
         fleet.change_endpoint(zone);
     }
     let from = fleet.now();
--- a/testbed/src/scale/virtual_fleet/tests.rs
+++ b/testbed/src/scale/virtual_fleet/tests.rs
@@ -15,7 +15,7 @@
     fleet.counts = Counts::default();
     fleet.run_until(WARM_UP_MS + 15_000.0);
     // 15 s hold ten long polls of 1.5 s with their round trips, for each of the 20 watchers.
-    assert!((190.0..=200.0).contains(&fleet.counts.calls), "{:?}", fleet.counts);
+    assert!((190.0..=200.0).contains(&fleet.counts.polls), "{:?}", fleet.counts);
     assert_eq!(fleet.counts.failed, 0.0);
     assert!(fleet.watchers.iter().all(|watcher| watcher.current_version == 1));
 }
@@ -38,7 +38,7 @@
 /// Polls fail during an outage and time out when discovery is overloaded (400 watchers at 50 ms each). After
 /// an outage every watcher has to reconnect; one that gave up would be missing from all later figures.
 #[test]
-fn watchers_recover_after_outage_and_overload_fails_polls() {
+fn polls_fail_in_outage_and_overload() {
     let mut fleet = fleet(30, 1.0);
     fleet.stop_discovery();
     fleet.counts = Counts::default();
@@ -62,13 +62,13 @@
 fn response_has_only_newer_entries() {
     let mut fleet = fleet(1, 1.0);
     [3, 5, 3].into_iter().for_each(|endpoint| fleet.change_endpoint(endpoint));
-    let names = |response_body: Rc<str>| -> Vec<u64> {
+    let since_ms = |response_body: Rc<str>| -> Vec<u64> {
         let list: discovery_proto::EndpointList =
             serde_json::from_str(&response_body).expect("response is an endpoint list");
         list.endpoints.iter().map(|entry| entry["since_ms"].as_u64().expect("since_ms is a number")).collect()
     };
-    assert_eq!(names(fleet.response_body(Some(1), 4)), [4, 3]);
-    assert_eq!(names(fleet.response_body(Some(3), 4)), [4]);
-    assert_eq!(names(fleet.response_body(None, 2)), [1, 1, 1, 2, 1, 1, 1, 1, 1]);
-    assert_eq!(names(fleet.response_body(Some(4), 4)), [] as [u64; 0]);
+    assert_eq!(since_ms(fleet.response_body(Some(1), 4)), [4, 3]);
+    assert_eq!(since_ms(fleet.response_body(Some(3), 4)), [4]);
+    assert_eq!(since_ms(fleet.response_body(None, 2)), [1, 1, 1, 2, 1, 1, 1, 1, 1]);
+    assert_eq!(since_ms(fleet.response_body(Some(4), 4)), [] as [u64; 0]);
 }
