--- a/testbed/src/bin/broken.rs
+++ b/testbed/src/bin/broken.rs
@@ -1,5 +1,5 @@
-//! A client proxy that breaks one rule on purpose, named by `$BROKEN`: it shows that the testbed would see it. For tests
-//! of the testbed alone.
+//! A minimal client proxy that deliberately violates the one rule named by the environment variable `BROKEN`.
+//! The testbed's tests use it to verify that the testbed detects each violation.
 #![forbid(unsafe_code)]
 
 use std::cell::Cell;
@@ -21,191 +21,209 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-/// What is broken, or nothing.
+/// The rule that is violated, if any.
 #[derive(Clone, Copy, PartialEq)]
-enum Breaks {
-    Nothing,
-    Lost,
-    False,
-    Doubled,
-    TwiceOut,
-    Drain,
-    Cold,
-    Limits,
+enum Violation {
+    None,
+    /// Closes the connection of about every tenth request without a response.
+    LosesResponse,
+    /// Responses have a body that no order server sent.
+    ForgedResponse,
+    /// Each request is executed by two order servers, one after the other.
+    DuplicateExecution,
+    /// Each request is sent to two order servers at the same time.
+    ConcurrentAttempts,
+    /// Keeps the first endpoint list, and so sends requests to draining endpoints.
+    IgnoresDraining,
+    /// Sends requests only to endpoints that started during the run (`since_ms` above 0), as if they were
+    /// warmed up.
+    OverloadsWarmingUp,
+    /// Holds 100 additional file descriptors open.
+    TooManyDescriptors,
+    /// Exits with code 1 after 2 s.
     Crash,
 }
 
-struct Order {
+/// The parts of a received request that are sent to an order server, or to discovery. Bodies are dropped.
+struct ForwardedRequest {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
 }
 
-struct Broken {
-    breaks: Breaks,
+struct BrokenProxy {
+    violation: Violation,
     discovery: SocketAddr,
-    turn: Cell<usize>,
-    known: Cell<Vec<Value>>,
+    /// Number of endpoint selections so far, for round robin.
+    selections: Cell<usize>,
+    /// The endpoint list in use.
+    endpoints: Cell<Vec<Value>>,
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let breaks = match std::env::var("BROKEN").unwrap_or_default().as_str() {
-        "lost" => Breaks::Lost,
-        "false" => Breaks::False,
-        "doubled" => Breaks::Doubled,
-        "twice_out" => Breaks::TwiceOut,
-        "drain" => Breaks::Drain,
-        "cold" => Breaks::Cold,
-        "limits" => Breaks::Limits,
-        "crash" => Breaks::Crash,
-        _ => Breaks::Nothing,
+    let violation = match std::env::var("BROKEN").unwrap_or_default().as_str() {
+        "lost" => Violation::LosesResponse,
+        "false" => Violation::ForgedResponse,
+        "doubled" => Violation::DuplicateExecution,
+        "twice_out" => Violation::ConcurrentAttempts,
+        "drain" => Violation::IgnoresDraining,
+        "cold" => Violation::OverloadsWarmingUp,
+        "limits" => Violation::TooManyDescriptors,
+        "crash" => Violation::Crash,
+        _ => Violation::None,
     };
     let config: Value = serde_json::from_slice(&std::fs::read(std::env::var("GW_CONFIG")?)?)?;
     let address = |key: &str| config[key].as_str().unwrap_or_default().parse::<SocketAddr>();
     let (listen, discovery) = (address("listen")?, address("discovery")?);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async move {
-        let (turn, known) = (Cell::default(), Cell::default());
-        let broken = Rc::new(Broken { breaks, discovery, turn, known });
-        spawn_local(Rc::clone(&broken).follow());
-        spawn_local(async { greet().await.expect("its peers can be written to") });
-        if breaks == Breaks::Crash {
+        let (selections, endpoints) = (Cell::default(), Cell::default());
+        let proxy = Rc::new(BrokenProxy { violation, discovery, selections, endpoints });
+        spawn_local(Rc::clone(&proxy).poll_discovery());
+        spawn_local(async { send_to_peers().await.expect("cannot send datagrams to the peers of GW_FLEET") });
+        if violation == Violation::Crash {
             spawn_local(async {
                 sleep(Duration::from_secs(2)).await;
                 std::process::exit(1);
             });
         }
-        let mut held = Vec::new();
-        while breaks == Breaks::Limits && held.len() < 100 {
-            held.push(std::fs::File::open("/dev/null")?);
+        let mut open_files = Vec::new();
+        while violation == Violation::TooManyDescriptors && open_files.len() < 100 {
+            open_files.push(std::fs::File::open("/dev/null")?);
         }
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(listen)?;
         let listener = socket.listen(1024)?;
-        serve(listener, broken).await
+        serve(listener, proxy).await
     })
 }
 
-/// Writes to all its peers again and again, if it has any.
-async fn greet() -> Result<(), Box<dyn Error>> {
+/// Sends a datagram to each peer every 100 ms, if `GW_FLEET` names a file that lists peers.
+async fn send_to_peers() -> Result<(), Box<dyn Error>> {
     let Ok(file) = std::env::var("GW_FLEET") else { return Ok(()) };
-    let parts: toml::Table = std::fs::read_to_string(file)?.parse()?;
-    let Some(membership) = parts.get("membership") else { return Ok(()) };
+    let fleet: toml::Table = std::fs::read_to_string(file)?.parse()?;
+    let Some(membership) = fleet.get("membership") else { return Ok(()) };
     let socket = tokio::net::UdpSocket::bind(membership["listen"].as_str().unwrap_or_default()).await?;
     loop {
         for seed in membership["seeds"].as_array().into_iter().flatten().filter_map(toml::Value::as_str) {
-            // What does not arrive is not missed.
+            // A failed send needs no handling: the next one follows in 100 ms.
             let _ = socket.send_to(b"hello", seed).await;
         }
         sleep(Duration::from_millis(100)).await;
     }
 }
 
-async fn serve(listener: TcpListener, broken: Rc<Broken>) -> Result<(), Box<dyn Error>> {
-    let mut ends = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
+async fn serve(listener: TcpListener, proxy: Rc<BrokenProxy>) -> Result<(), Box<dyn Error>> {
+    let mut sigterm = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => accepted?.0,
-            _ = ends.recv() => return Ok(()),
+            _ = sigterm.recv() => return Ok(()),
         };
-        let broken = Rc::clone(&broken);
+        let proxy = Rc::clone(&proxy);
         spawn_local(async move {
             let service = service_fn(|request| {
-                let broken = Rc::clone(&broken);
-                async move { broken.answer(request).await }
+                let proxy = Rc::clone(&proxy);
+                async move { proxy.respond(request).await }
             });
-            // A client that leaves, or that is left, ends the connection.
+            // Errors are expected here: clients disconnect, and a simulated fault can reset the connection.
             let _ = Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-impl Broken {
-    /// Asks for the whole list again and again; where drains are not heard, the first one stays.
-    async fn follow(self: Rc<Self>) {
+impl BrokenProxy {
+    /// Polls discovery for a full snapshot every 100 ms. With `IgnoresDraining`, the first list that is not
+    /// empty stays in use.
+    async fn poll_discovery(self: Rc<Self>) {
         loop {
             let uri = "/v1/endpoints".parse().unwrap_or_default();
-            let order = Order { method: Method::GET, uri, headers: HeaderMap::new() };
-            if let Some((StatusCode::OK, body)) = exchange(self.discovery, &order).await
-                && let Ok(Value::Object(mut list)) = serde_json::from_slice::<Value>(&body)
-                && let Some(Value::Array(endpoints)) = list.remove("endpoints")
+            let forwarded = ForwardedRequest { method: Method::GET, uri, headers: HeaderMap::new() };
+            if let Some((StatusCode::OK, body)) = exchange(self.discovery, &forwarded).await
+                && let Ok(Value::Object(mut snapshot)) = serde_json::from_slice::<Value>(&body)
+                && let Some(Value::Array(endpoints)) = snapshot.remove("endpoints")
             {
-                let known = self.known.take();
-                let deaf = self.breaks == Breaks::Drain && !known.is_empty();
-                self.known.set(if deaf { known } else { endpoints });
+                let current = self.endpoints.take();
+                let keeps_current = self.violation == Violation::IgnoresDraining && !current.is_empty();
+                self.endpoints.set(if keeps_current { current } else { endpoints });
             }
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// The next server in turn.
-    fn next(&self) -> Option<SocketAddr> {
-        let known = self.known.take();
-        let fits = |entry: &&Value| {
-            let cold = entry["since_ms"].as_u64().unwrap_or(0) > 0;
-            entry["status"] == "SERVING" && (self.breaks != Breaks::Cold || cold)
+    /// Selects an endpoint by round robin among those in service or, if there are none, among all.
+    fn select_endpoint(&self) -> Option<SocketAddr> {
+        let endpoints = self.endpoints.take();
+        let is_eligible = |entry: &&Value| {
+            let started_during_run = entry["since_ms"].as_u64().unwrap_or(0) > 0;
+            entry["status"] == "SERVING"
+                && (self.violation != Violation::OverloadsWarmingUp || started_during_run)
         };
-        let mut able: Vec<&Value> = known.iter().filter(fits).collect();
-        if able.is_empty() {
-            able = known.iter().collect();
+        let mut eligible: Vec<&Value> = endpoints.iter().filter(is_eligible).collect();
+        if eligible.is_empty() {
+            eligible = endpoints.iter().collect();
         }
-        let turn = self.turn.replace(self.turn.get() + 1);
-        let entry = able.get(turn % able.len().max(1));
+        let selection = self.selections.replace(self.selections.get() + 1);
+        let entry = eligible.get(selection % eligible.len().max(1));
         let address = entry.and_then(|entry| entry["address"].as_str()?.parse().ok());
-        self.known.set(known);
+        self.endpoints.set(endpoints);
         address
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
         if request.uri().path() == "/ready" {
-            let known = self.known.take();
-            let ready = !known.is_empty();
-            self.known.set(known);
-            return Ok(status(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
+            let endpoints = self.endpoints.take();
+            let ready = !endpoints.is_empty();
+            self.endpoints.set(endpoints);
+            return Ok(empty_response(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
         }
         let (head, _) = request.into_parts();
-        let order = Order { method: head.method, uri: head.uri, headers: head.headers };
-        let (Some(one), Some(two)) = (self.next(), self.next()) else {
-            return Ok(status(StatusCode::SERVICE_UNAVAILABLE));
+        let forwarded = ForwardedRequest { method: head.method, uri: head.uri, headers: head.headers };
+        let (Some(first), Some(second)) = (self.select_endpoint(), self.select_endpoint()) else {
+            return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
         };
-        let answered = match self.breaks {
-            Breaks::TwiceOut => tokio::join!(exchange(one, &order), exchange(two, &order)).0,
-            Breaks::Doubled => {
-                exchange(two, &order).await;
-                exchange(one, &order).await
+        let response = match self.violation {
+            Violation::ConcurrentAttempts => {
+                tokio::join!(exchange(first, &forwarded), exchange(second, &forwarded)).0
             }
-            _ => exchange(one, &order).await,
+            Violation::DuplicateExecution => {
+                exchange(second, &forwarded).await;
+                exchange(first, &forwarded).await
+            }
+            _ => exchange(first, &forwarded).await,
         };
-        match (self.breaks, answered) {
-            // A connection whose answer never comes is ended by the panic of its task.
-            (Breaks::Lost, _) if self.turn.get().is_multiple_of(20) => panic!("lost on purpose"),
-            (Breaks::False, _) => Ok(Response::new(Full::from("done ffffffffffffffff"))),
+        match (self.violation, response) {
+            // The panic ends the connection's task, which closes the connection without a response.
+            (Violation::LosesResponse, _) if self.selections.get().is_multiple_of(20) => {
+                panic!("closing the connection without a response, as BROKEN=lost requires")
+            }
+            (Violation::ForgedResponse, _) => Ok(Response::new(Full::from("done ffffffffffffffff"))),
             (_, Some((code, body))) => {
-                let mut response = status(code);
+                let mut response = empty_response(code);
                 *response.body_mut() = Full::new(body);
                 Ok(response)
             }
-            (_, None) => Ok(status(StatusCode::BAD_GATEWAY)),
+            (_, None) => Ok(empty_response(StatusCode::BAD_GATEWAY)),
         }
     }
 }
 
-/// One attempt, over a connection of its own.
-async fn exchange(address: SocketAddr, order: &Order) -> Option<(StatusCode, Bytes)> {
+/// Sends one request over a new connection and reads the complete response.
+async fn exchange(address: SocketAddr, forwarded: &ForwardedRequest) -> Option<(StatusCode, Bytes)> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
     let _task = tokio_util::task::AbortOnDropHandle::new(spawn_local(connection));
     let mut request = Request::new(Empty::<Bytes>::new());
-    *request.method_mut() = order.method.clone();
-    *request.uri_mut() = order.uri.clone();
-    *request.headers_mut() = order.headers.clone();
+    *request.method_mut() = forwarded.method.clone();
+    *request.uri_mut() = forwarded.uri.clone();
+    *request.headers_mut() = forwarded.headers.clone();
     let (head, body) = sender.send_request(request).await.ok()?.into_parts();
     Some((head.status, body.collect().await.ok()?.to_bytes()))
 }
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! Bad days for a fleet of client proxies: see docs/testbed.md.
+//! Runs failure scenarios against a fleet of client proxy processes: see docs/testbed.md.
 #![forbid(unsafe_code)]
 
 mod chance;
@@ -31,115 +31,118 @@
 use crate::saturate::saturate;
 use crate::scenario::Scenario;
 
-/// Bad days for a fleet of client proxies.
+/// Runs failure scenarios against a fleet of client proxy processes.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
     #[command(subcommand)]
-    command: Call,
+    command: TestbedCommand,
 }
 
 #[derive(Subcommand)]
-enum Call {
-    /// Plays a scenario once. Ends with 0 if all rules held and all came as expected, 1 if not, 2 if it was not played
-    /// or does not count.
+enum TestbedCommand {
+    /// Runs a scenario once. Exits with 0 if no rule was violated and all expectations were met, 1 if not, 2
+    /// if the scenario could not be run or its result is void.
     Run {
-        /// The scenario file, or the name of one that comes with the testbed.
+        /// The scenario file, or the name of a scenario that is part of the testbed.
         scenario: PathBuf,
-        /// All chance is from it.
+        /// Seed of all pseudo-random choices.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Where the figures go as JSON.
+        /// File to which the report is written as JSON.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// The client proxy's program; that of this repository, built anew, if not given.
+        /// The client proxy executable. Default: build and use the one in this repository.
         #[arg(long)]
         binary: Option<PathBuf>,
-        /// So many times the client proxies, order servers and requests.
+        /// Factor by which the numbers of client proxies, order servers and requests are multiplied.
         #[arg(long, default_value_t = 1)]
         times: usize,
-        /// Says nothing while it plays.
+        /// Prints no progress during the run.
         #[arg(long)]
         quiet: bool,
     },
-    /// Plays a scenario with an older program and with this one in turn, with the same seeds, and says of each figure
-    /// whether it is better, worse, or noise. Ends with 1 if anything is worse.
+    /// Runs a scenario with a baseline executable and with the current one, with the same seeds, and prints
+    /// for each figure whether it is better, worse, or within noise. Exits with 1 if any figure is worse, 2
+    /// if a run failed or is void.
     Compare {
-        /// The scenario file, or the name of one that comes with the testbed.
+        /// The scenario file, or the name of a scenario that is part of the testbed.
         scenario: PathBuf,
-        /// The older program.
+        /// The baseline client proxy executable.
         #[arg(long)]
         base: PathBuf,
-        /// The seeds, three or more to tell anything from chance.
+        /// Comma-separated seeds. At least three are needed to tell a change from noise.
         #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
         seeds: Vec<u64>,
-        /// So many times the client proxies, order servers and requests.
+        /// Factor by which the numbers of client proxies, order servers and requests are multiplied.
         #[arg(long, default_value_t = 1)]
         times: usize,
-        /// The program at hand; that of this repository, built anew, if not given.
+        /// The current client proxy executable. Default: build and use the one in this repository.
         #[arg(long)]
         binary: Option<PathBuf>,
     },
-    /// Finds how many requests a second one client proxy serves on one core, and what it adds to each.
+    /// Measures how many requests per second one client proxy serves on one core, and the latency and CPU
+    /// time of each.
     Saturate {
-        /// Clients that each ask again as soon as they have their answer.
+        /// Number of clients. Each sends its next request as soon as it has the response to the last one.
         #[arg(long, default_value_t = 16)]
         clients: usize,
-        /// How long they ask, in seconds.
+        /// Duration of the measurement in seconds.
         #[arg(long, default_value_t = 5)]
         seconds: u64,
-        /// The client proxy's program; that of this repository, built anew, if not given.
+        /// The client proxy executable. Default: build and use the one in this repository.
         #[arg(long)]
         binary: Option<PathBuf>,
     },
-    /// Makes a page of HTML of a play that was written down.
+    /// Renders the JSON report of a scenario run as an HTML page.
     Report {
-        /// What `run --json` wrote.
+        /// JSON report written by `run --json`.
         json: PathBuf,
-        /// The folder that the page goes to.
+        /// Directory in which the page is created.
         #[arg(long)]
         html: PathBuf,
     },
-    /// Finds what the fleet's size costs: one axis at a time, one seed.
+    /// Measures how cost grows with the size of the fleet. Each run varies one axis, with one seed.
     Scale {
         #[command(subcommand)]
-        call: ScaleCall,
+        command: ScaleCommand,
     },
-    /// Lists the scenarios that come with the testbed.
+    /// Lists the scenarios that are part of the testbed.
     List,
 }
 
 #[derive(Subcommand)]
-enum ScaleCall {
-    /// Makes one run. Ends with 0, or with 2 where it was not made or does not count.
+enum ScaleCommand {
+    /// Executes one run. Exits with 0, or with 2 if the run failed or its result is void.
     Run {
-        /// Which one.
+        /// Name of the run, as printed by `scale list`.
         name: String,
-        /// All chance is from it.
+        /// Seed of all pseudo-random choices.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Where the figures go as JSON; to standard output, if not given.
+        /// File to which the figures are written as JSON. Default: standard output.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// The client proxy's program; that of this repository, built anew, if not given.
+        /// The client proxy executable. Default: build and use the one in this repository.
         #[arg(long)]
         binary: Option<PathBuf>,
     },
-    /// Makes a page of HTML of all runs that were written down.
+    /// Renders the JSON results of all runs in a directory as an HTML page.
     Report {
-        /// The folder with what `scale run --json` wrote.
+        /// Directory with the files written by `scale run --json`.
         dir: PathBuf,
-        /// The page.
+        /// The HTML file to write.
         #[arg(long)]
         html: PathBuf,
     },
-    /// Makes the tables of a page anew from a folder with rows.toml and the runs' JSON.
+    /// Regenerates the tables of a page from a directory with rows.toml and the JSON results of the runs.
     Page {
-        /// The folder.
+        /// Directory with rows.toml and the JSON results.
         dir: PathBuf,
-        /// The page.
+        /// The page whose tables are regenerated.
         page: PathBuf,
-        /// Leaves the page as it is. Ends with 1 where it is not as the runs say, and names the first such line.
+        /// Does not write the page. Exits with 1 and prints the first differing line if the tables are out of
+        /// date.
         #[arg(long)]
         check: bool,
     },
@@ -147,60 +150,67 @@
     List,
 }
 
-/// The scenarios that come with the testbed.
-fn shipped() -> PathBuf {
+/// The directory of the scenarios that are part of the testbed.
+fn scenarios_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios")
 }
 
-type Failed = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
-const NOT_PLAYED: u8 = 2;
+/// Exit code if a run could not be executed or its result is void.
+const EXIT_RUN_FAILED_OR_VOID: u8 = 2;
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
-        Call::Run { scenario, seed, json, binary, times, quiet } => {
-            let played =
-                read(&scenario, times).and_then(|day| run(&day, seed, json.as_deref(), binary, !quiet));
-            played.map(|report| match report.void {
-                true => ExitCode::from(NOT_PLAYED),
+    let exit_code = match Arguments::parse().command {
+        TestbedCommand::Run { scenario, seed, json, binary, times, quiet } => {
+            let report = load_scenario(&scenario, times)
+                .and_then(|scenario| run(&scenario, seed, json.as_deref(), binary, !quiet));
+            report.map(|report| match report.void {
+                true => ExitCode::from(EXIT_RUN_FAILED_OR_VOID),
                 false => ExitCode::from(u8::from(!report.passed())),
             })
         }
-        Call::Compare { scenario, base, seeds, binary, times } => {
+        TestbedCommand::Compare { scenario, base, seeds, binary, times } => {
             compare_versions(&scenario, &base, &seeds, binary, times)
         }
-        Call::Saturate { clients, seconds, binary } => saturate_one(clients, seconds, binary),
-        Call::Report { json, html } => write_page(&json, &html),
-        Call::Scale { call } => scaled(call),
-        Call::List => list().map(|()| ExitCode::SUCCESS),
+        TestbedCommand::Saturate { clients, seconds, binary } => measure_saturation(clients, seconds, binary),
+        TestbedCommand::Report { json, html } => write_page(&json, &html),
+        TestbedCommand::Scale { command } => run_scale_command(command),
+        TestbedCommand::List => list().map(|()| ExitCode::SUCCESS),
     };
-    done.unwrap_or_else(|error| {
+    exit_code.unwrap_or_else(|error| {
         eprintln!("testbed: {error}");
-        ExitCode::from(NOT_PLAYED)
+        ExitCode::from(EXIT_RUN_FAILED_OR_VOID)
     })
 }
 
-/// One that is there, or that comes with the testbed under that name.
-fn read(scenario: &Path, times: usize) -> Result<Scenario, Failed> {
-    let named = shipped().join(scenario).with_extension("toml");
-    let path = if scenario.exists() || !named.exists() { scenario } else { &named };
+/// Loads a scenario from a file or, if there is no such file, by name from the testbed's own scenarios.
+fn load_scenario(scenario: &Path, times: usize) -> Result<Scenario, BoxError> {
+    let built_in = scenarios_dir().join(scenario).with_extension("toml");
+    let path = if scenario.exists() || !built_in.exists() { scenario } else { &built_in };
     Ok(Scenario::read(path)?.scaled(times, &path.display().to_string())?)
 }
 
-/// Plays once, with a folder for the files of the processes.
-fn play_once(scenario: &Scenario, binary: &Path, seed: u64, progress: bool) -> Result<Report, Failed> {
+/// Runs a scenario once, in a temporary directory for the files of its processes.
+fn run_in_temporary_dir(
+    scenario: &Scenario,
+    binary: &Path,
+    seed: u64,
+    progress: bool,
+) -> Result<Report, BoxError> {
     let options = |dir: &Path| Options { binary: binary.to_owned(), seed, dir: dir.to_owned(), progress };
-    Ok(in_a_folder(|dir| run_once(scenario, &options(dir)))??)
+    Ok(with_temporary_dir(|dir| run_once(scenario, &options(dir)))??)
 }
 
-/// Does this with a folder for the files of processes, and clears it away.
-fn in_a_folder<T>(work: impl FnOnce(&Path) -> T) -> std::io::Result<T> {
+/// Calls `work` with a temporary directory for the files of the processes, and removes the directory
+/// afterwards.
+fn with_temporary_dir<T>(work: impl FnOnce(&Path) -> T) -> std::io::Result<T> {
     let dir = std::env::temp_dir().join(format!("testbed-{}", std::process::id()));
     fs::create_dir_all(&dir)?;
-    let done = work(&dir);
-    // Left behind at worst, in the folder for what may be left behind.
+    let result = work(&dir);
+    // A failed removal is ignored: the directory is in the system's directory for temporary files.
     let _ = fs::remove_dir_all(&dir);
-    Ok(done)
+    Ok(result)
 }
 
 fn compare_versions(
@@ -209,71 +219,72 @@
     seeds: &[u64],
     binary: Option<PathBuf>,
     times: usize,
-) -> Result<ExitCode, Failed> {
-    let scenario = read(scenario, times)?;
-    let binary = binary.map_or_else(built, Ok)?;
+) -> Result<ExitCode, BoxError> {
+    let scenario = load_scenario(scenario, times)?;
+    let binary = binary.map_or_else(build_client_proxy, Ok)?;
     let mut pairs = Vec::new();
     for &seed in seeds {
-        // Whoever is second finds the machine as the first one left it, so they take turns at that.
-        let older_first = pairs.len() % 2 == 0;
-        let order = if older_first { [base, &binary] } else { [&binary, base] };
-        let [first, second] = order.map(|program| play_once(&scenario, program, seed, false));
+        // The first run can change the state in which the second one finds the machine, so the order alternates
+        // from seed to seed.
+        let baseline_first = pairs.len() % 2 == 0;
+        let order = if baseline_first { [base, &binary] } else { [&binary, base] };
+        let [first, second] = order.map(|program| run_in_temporary_dir(&scenario, program, seed, false));
         let (first, second) = (first?, second?);
-        let (older, own) = if older_first { (first, second) } else { (second, first) };
-        for (whose, report) in [("older", &older), ("own", &own)] {
+        let (baseline, current) = if baseline_first { (first, second) } else { (second, first) };
+        for (executable, report) in [("older", &baseline), ("own", &current)] {
             let Report { figures, void, .. } = report;
             let void = if *void { "  void" } else { "" };
             println!(
-                "seed {seed} {whose}: served {:.4}, worth {:.4}{void}",
+                "seed {seed} {executable}: served {:.4}, worth {:.4}{void}",
                 figures.served_share, figures.worth_share
             );
         }
-        pairs.push((older, own));
+        pairs.push((baseline, current));
     }
-    if pairs.iter().any(|(older, own)| older.void || own.void) {
+    if pairs.iter().any(|(baseline, current)| baseline.void || current.void) {
         println!("VOID: the testbed was late");
-        return Ok(ExitCode::from(NOT_PLAYED));
+        return Ok(ExitCode::from(EXIT_RUN_FAILED_OR_VOID));
     }
     let compared = compare(&pairs);
     println!("{:22} {:>12} {:>12} {:>18}  verdict", "", "older", "own", "ratio");
-    for Compared { name, means: [older, own], ratio, verdict } in &compared {
+    for Compared { name, means: [baseline, current], ratio, verdict } in &compared {
         let ratio = ratio.map_or("-".to_owned(), |(mean, spread)| format!("{mean:.4} +- {spread:.4}"));
-        println!("{name:22} {older:12.4} {own:12.4} {ratio:>18}  {verdict:?}");
+        println!("{name:22} {baseline:12.4} {current:12.4} {ratio:>18}  {verdict:?}");
     }
     println!("paired t-test over {} seeds, two-sided at 95%", seeds.len());
     Ok(ExitCode::from(u8::from(compared.iter().any(|figure| figure.verdict == Verdict::Worse))))
 }
 
-fn saturate_one(clients: usize, seconds: u64, binary: Option<PathBuf>) -> Result<ExitCode, Failed> {
-    let scenario = read(Path::new("saturate"), 1)?;
-    let binary = binary.map_or_else(built, Ok)?;
-    let lasts = Duration::from_secs(seconds);
-    let saturated = in_a_folder(|dir| saturate(&scenario, &binary, dir, clients, lasts))??;
+fn measure_saturation(clients: usize, seconds: u64, binary: Option<PathBuf>) -> Result<ExitCode, BoxError> {
+    let scenario = load_scenario(Path::new("saturate"), 1)?;
+    let binary = binary.map_or_else(build_client_proxy, Ok)?;
+    let duration = Duration::from_secs(seconds);
+    let saturated = with_temporary_dir(|dir| saturate(&scenario, &binary, dir, clients, duration))??;
     println!("{}", serde_json::to_string_pretty(&saturated)?);
     Ok(ExitCode::SUCCESS)
 }
 
-fn scaled(call: ScaleCall) -> Result<ExitCode, Failed> {
-    match call {
-        ScaleCall::Run { name, seed, json, binary } => {
-            let binary = binary.map_or_else(built, Ok)?;
+fn run_scale_command(command: ScaleCommand) -> Result<ExitCode, BoxError> {
+    match command {
+        ScaleCommand::Run { name, seed, json, binary } => {
+            let binary = binary.map_or_else(build_client_proxy, Ok)?;
             let options = |dir: &Path| scale::Options { binary, seed, dir: dir.to_owned() };
-            let run = in_a_folder(|dir| scale::run(&name, &options(dir)))??;
+            let run = with_temporary_dir(|dir| scale::run(&name, &options(dir)))??;
             let text = serde_json::to_string_pretty(&run)? + "\n";
             match json {
                 Some(path) => fs::write(path, text)?,
                 None => print!("{text}"),
             }
-            if let Some(why) = &run.void {
-                println!("VOID: {why}");
+            if let Some(reason) = &run.void {
+                println!("VOID: {reason}");
             }
-            Ok(ExitCode::from(if run.void.is_some() { NOT_PLAYED } else { 0 }))
+            Ok(ExitCode::from(if run.void.is_some() { EXIT_RUN_FAILED_OR_VOID } else { 0 }))
         }
-        ScaleCall::Report { dir, html } => {
+        ScaleCommand::Report { dir, html } => {
             fs::write(&html, scale::report::page(&scale::read_runs(&dir)?)?)?;
             Ok(ExitCode::SUCCESS)
         }
-        ScaleCall::Page { dir, page, check } => {
+        ScaleCommand::Page { dir, page, check } => {
             let actual = fs::read_to_string(&page).map_err(|error| format!("{}: {error}", page.display()))?;
             let expected = scale::page::regenerate(&dir, &page)?;
             let difference = scale::page::first_difference(&actual, &expected);
@@ -290,14 +301,14 @@
             }
             Ok(ExitCode::from(u8::from(difference.is_some())))
         }
-        ScaleCall::List => {
-            scale::RUNS.iter().for_each(|known| println!("{:24} {}", known.name, known.about));
+        ScaleCommand::List => {
+            scale::RUNS.iter().for_each(|run| println!("{:24} {}", run.name, run.about));
             Ok(ExitCode::SUCCESS)
         }
     }
 }
 
-fn write_page(json: &Path, html: &Path) -> Result<ExitCode, Failed> {
+fn write_page(json: &Path, html: &Path) -> Result<ExitCode, BoxError> {
     let report: Report = serde_json::from_slice(&fs::read(json)?)?;
     fs::create_dir_all(html)?;
     let file = html.join(html::file_name(&report));
@@ -312,9 +323,9 @@
     json: Option<&Path>,
     binary: Option<PathBuf>,
     progress: bool,
-) -> Result<Report, Failed> {
-    let binary = binary.map_or_else(built, Ok)?;
-    let report = play_once(scenario, &binary, seed, progress)?;
+) -> Result<Report, BoxError> {
+    let binary = binary.map_or_else(build_client_proxy, Ok)?;
+    let report = run_in_temporary_dir(scenario, &binary, seed, progress)?;
     if let Some(json) = json {
         fs::write(json, serde_json::to_vec_pretty(&report)?)?;
     }
@@ -322,12 +333,13 @@
     Ok(report)
 }
 
-/// The client proxy of this repository: beside the testbed, as the relay is, and both built first where cargo has started
-/// the testbed.
-fn built() -> Result<PathBuf, Failed> {
-    let own = std::env::current_exe()?;
+/// Path of this repository's client proxy executable, which stands in the same directory as the testbed and
+/// the relay. If cargo started the testbed, it first builds the client proxy and the relay with the profile
+/// of the testbed.
+fn build_client_proxy() -> Result<PathBuf, BoxError> {
+    let testbed = std::env::current_exe()?;
     if let Some(cargo) = std::env::var_os("CARGO") {
-        let release = own.parent().is_some_and(|dir| dir.ends_with("release"));
+        let release = testbed.parent().is_some_and(|dir| dir.ends_with("release"));
         let mut build = Command::new(cargo);
         build.current_dir(env!("CARGO_MANIFEST_DIR")).args(["build", "--locked"]);
         build.args(["-p", "client-proxy", "-p", "discovery-relay"]);
@@ -335,11 +347,15 @@
             build.arg("--release");
         }
         if !build.status()?.success() {
-            return Err("the client proxy and the relay are not built".into());
+            return Err("cargo build of client-proxy and discovery-relay failed".into());
         }
     }
-    let binary = own.with_file_name("client-proxy");
-    if binary.exists() { Ok(binary) } else { Err(format!("{}: not there", binary.display()).into()) }
+    let binary = testbed.with_file_name("client-proxy");
+    if binary.exists() {
+        Ok(binary)
+    } else {
+        Err(format!("{}: client proxy executable not found", binary.display()).into())
+    }
 }
 
 fn print(report: &Report) {
@@ -361,20 +377,20 @@
         figures.cross_zone_share,
         figures.testbed_late_us as f64 / 1e3
     );
-    let most = |of: fn(&run::ProxyReport) -> f64| report.proxies.iter().map(of).fold(0.0, f64::max);
+    let max = |usage: fn(&run::ProxyReport) -> f64| report.proxies.iter().map(usage).fold(0.0, f64::max);
     println!(
         "the most of one client proxy: CPU {:.2} s, {:.2} of a core in a second, {:.1} MB, {:.0} descriptors",
-        most(|proxy| proxy.usage.cpu_s),
-        most(|proxy| proxy.usage.busiest),
-        most(|proxy| proxy.usage.memory_mb),
-        most(|proxy| proxy.usage.descriptors as f64)
+        max(|proxy| proxy.usage.cpu_s),
+        max(|proxy| proxy.usage.busiest),
+        max(|proxy| proxy.usage.memory_mb),
+        max(|proxy| proxy.usage.descriptors as f64)
     );
     for Recovery { at_s, fault, ms } in &figures.recovery_ms {
-        let after = ms.map_or("not recovered".to_owned(), |ms| format!("recovered after {ms} ms"));
-        println!("  {at_s:.1} s: {fault}: {after}");
+        let recovery = ms.map_or("not recovered".to_owned(), |ms| format!("recovered after {ms} ms"));
+        println!("  {at_s:.1} s: {fault}: {recovery}");
     }
-    for said in figures.breaks.iter().chain(&report.missed) {
-        println!("  {said}");
+    for violation in figures.breaks.iter().chain(&report.missed) {
+        println!("  {violation}");
     }
     let verdict = match (report.void, report.passed()) {
         (true, _) => "VOID: the testbed was late",
@@ -384,9 +400,9 @@
     println!("{verdict}");
 }
 
-fn list() -> Result<(), Failed> {
+fn list() -> Result<(), BoxError> {
     let mut files: Vec<PathBuf> =
-        fs::read_dir(shipped())?.filter_map(|entry| Some(entry.ok()?.path())).collect();
+        fs::read_dir(scenarios_dir())?.filter_map(|entry| Some(entry.ok()?.path())).collect();
     files.sort();
     for file in files.iter().filter(|file| file.extension().is_some_and(|end| end == "toml")) {
         match Scenario::read(file) {
--- a/testbed/src/saturate.rs
+++ b/testbed/src/saturate.rs
@@ -1,6 +1,7 @@
-//! How much one client proxy does: order servers that answer at once, clients that each ask again as soon as they have
-//! their answer, and what the process takes for it. Both stand-ins have threads of their own, so that the client proxy,
-//! which serves on one, is full before they are.
+//! Measures the maximum throughput of one client proxy process, and its CPU time and latency per request. The
+//! order servers respond immediately, and each client sends its next request as soon as it has the response
+//! to the last one. Clients and order servers have `THREADS` threads each, so that the client proxy, which
+//! serves on a single thread, is the first to reach its limit.
 
 use std::convert::Infallible;
 use std::io;
@@ -31,120 +32,126 @@
 use crate::scenario::{Class, Scenario};
 use crate::servers::body_of;
 
-/// Before what is measured: connections are made, speeds are learned.
+/// Load before the measurement, in which the client proxy opens connections and learns the latency of the
+/// endpoints.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// For how long one request after another is asked for.
-const ALONE: Duration = Duration::from_secs(2);
-/// Until the requests that are held open have all come.
-const SETTLE: Duration = Duration::from_millis(1500);
-/// Requests that are sent to be held open.
-const HELD: usize = 1000;
-/// Threads of order servers, and of clients.
+/// Duration of the measurement with a single client, and so one request at a time.
+const ONE_CLIENT_DURATION: Duration = Duration::from_secs(2);
+/// Wait until all requests of the stalled phase have reached the client proxy.
+const STALLED_REQUESTS_SETTLE: Duration = Duration::from_millis(1500);
+/// Number of concurrent requests, each on its own connection, that are sent while the order servers are
+/// stalled.
+const STALLED_REQUESTS: usize = 1000;
+/// Number of threads of the order servers, and of the clients.
 const THREADS: usize = 2;
 
-/// What came out.
+/// The result of a measurement.
 #[derive(Debug, Serialize)]
 pub struct Saturated {
-    /// Requests served in a second.
+    /// Served requests per second.
     pub per_second: f64,
-    /// Of those asked, the part that was not served.
+    /// Share of the sent requests that were not served.
     pub unserved_share: f64,
-    /// Of a core, what the client proxy used meanwhile. Where this is well below 1, something else was full.
+    /// Cores used by the client proxy during the measurement. A value well below 1 means that something other
+    /// than its CPU time limited the throughput.
     pub core_share: f64,
-    /// CPU time of the client proxy for each request, in microseconds.
+    /// CPU time of the client proxy per served request, in microseconds.
     pub cpu_us: f64,
-    /// From sent to answered while it is full, in microseconds: p50, p99, p999.
+    /// Latency of served requests at maximum throughput, in microseconds: p50, p99, p999.
     pub latency_us: [u64; 3],
-    /// The same with one request at a time.
+    /// Latency with one request at a time, in microseconds: p50, p99, p999.
     pub alone_us: [u64; 3],
-    /// Requests that it held open when so many had been sent to servers that say nothing, and its memory then in MB.
+    /// Number of requests in flight in the client proxy after `STALLED_REQUESTS` were sent to stalled order
+    /// servers, and its memory at that time in MB.
     pub held_open: (usize, f64),
 }
 
-/// Plays it against `scenario`, with so many clients that ask for `lasts`.
+/// Measures the client proxy `binary` in the fleet of `scenario`, at full load by `clients` clients for
+/// `duration`.
 ///
 /// # Errors
-/// Where it cannot be played.
+/// If the processes could not be set up, or the run failed or was interrupted.
 pub fn saturate(
     scenario: &Scenario,
     binary: &Path,
     dir: &Path,
     clients: usize,
-    lasts: Duration,
+    duration: Duration,
 ) -> Result<Saturated, RunError> {
     raise_limit(scenario)?;
     let options = Options { binary: binary.to_owned(), seed: 1, dir: dir.to_owned(), progress: false };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         tokio::select! {
-            done = measured(scenario, &options, clients, lasts) => done,
-            ended = shutdown_requested() => Err(ended.into()),
+            result = measure(scenario, &options, clients, duration) => result,
+            interrupted = shutdown_requested() => Err(interrupted.into()),
         }
     })
 }
 
-async fn measured(
+async fn measure(
     scenario: &Scenario,
     options: &Options,
     clients: usize,
-    lasts: Duration,
+    duration: Duration,
 ) -> Result<Saturated, RunError> {
-    let count: usize = scenario.kind.iter().map(|kind| kind.servers).sum();
-    let silent = Arc::new(AtomicBool::new(false));
-    let world = set_up_with(scenario, options, Some(&at_once(count, &silent)?)).await?;
-    let (proxy, class) = (&world.proxies[0], &scenario.class[0]);
-    let one = ask(proxy, class, 1, 1, ALONE).await?;
-    ask(proxy, class, THREADS, clients, WARM_UP).await?;
+    let server_count: usize = scenario.kind.iter().map(|kind| kind.servers).sum();
+    let stalled = Arc::new(AtomicBool::new(false));
+    let setup = set_up_with(scenario, options, Some(&spawn_order_servers(server_count, &stalled)?)).await?;
+    let (proxy, class) = (&setup.proxies[0], &scenario.class[0]);
+    let one_client = run_clients(proxy, class, 1, 1, ONE_CLIENT_DURATION).await?;
+    run_clients(proxy, class, THREADS, clients, WARM_UP).await?;
     proxy.sample_usage();
-    let (before, from) = (proxy.usage().cpu_s, Instant::now());
-    let all = ask(proxy, class, THREADS, clients, lasts).await?;
+    let (cpu_s_before, started_at) = (proxy.usage().cpu_s, Instant::now());
+    let full_load = run_clients(proxy, class, THREADS, clients, duration).await?;
     proxy.sample_usage();
-    let (cpu, took) = (proxy.usage().cpu_s - before, from.elapsed().as_secs_f64());
-    silent.store(true, Ordering::Relaxed);
-    let open = Arc::new(AtomicUsize::new(0));
-    for number in 0..HELD {
-        let (address, class, open) = (proxy.address, class.clone(), Arc::clone(&open));
+    let (cpu_s, elapsed_s) = (proxy.usage().cpu_s - cpu_s_before, started_at.elapsed().as_secs_f64());
+    stalled.store(true, Ordering::Relaxed);
+    let in_flight = Arc::new(AtomicUsize::new(0));
+    for number in 0..STALLED_REQUESTS {
+        let (address, class, in_flight) = (proxy.address, class.clone(), Arc::clone(&in_flight));
         spawn_local(async move {
             if let Ok(mut client) = connect(address).await {
-                open.fetch_add(1, Ordering::Relaxed);
-                let _ = once(&mut client, &class, Txn(number | 1 << 60)).await;
-                open.fetch_sub(1, Ordering::Relaxed);
+                in_flight.fetch_add(1, Ordering::Relaxed);
+                let _ = request_is_served(&mut client, &class, Txn(number | 1 << 60)).await;
+                in_flight.fetch_sub(1, Ordering::Relaxed);
             }
         });
     }
-    sleep(SETTLE).await;
+    sleep(STALLED_REQUESTS_SETTLE).await;
     proxy.sample_usage();
-    let served = all.latency.len();
+    let served = full_load.latency.len();
     Ok(Saturated {
-        per_second: served as f64 / took,
-        unserved_share: all.unserved as f64 / (all.unserved + served).max(1) as f64,
-        core_share: cpu / took,
-        cpu_us: cpu * 1e6 / served.max(1) as f64,
-        latency_us: percentiles(&all.latency),
-        alone_us: percentiles(&one.latency),
-        held_open: (open.load(Ordering::Relaxed), proxy.usage().memory_mb),
+        per_second: served as f64 / elapsed_s,
+        unserved_share: full_load.unserved as f64 / (full_load.unserved + served).max(1) as f64,
+        core_share: cpu_s / elapsed_s,
+        cpu_us: cpu_s * 1e6 / served.max(1) as f64,
+        latency_us: percentiles(&full_load.latency),
+        alone_us: percentiles(&one_client.latency),
+        held_open: (in_flight.load(Ordering::Relaxed), proxy.usage().memory_mb),
     })
 }
 
 fn percentiles(latency: &Histogram<u64>) -> [u64; 3] {
-    [0.5, 0.99, 0.999].map(|q| latency.value_at_quantile(q))
+    [0.5, 0.99, 0.999].map(|quantile| latency.value_at_quantile(quantile))
 }
 
-/// Order servers that answer at once, or take what comes and say nothing; on threads that end with the process.
-fn at_once(count: usize, silent: &Arc<AtomicBool>) -> io::Result<Vec<SocketAddr>> {
+/// Starts `count` order servers on `THREADS` threads, which run until the process exits. They respond
+/// immediately; while `stalled` is set, they read requests and send no response.
+fn spawn_order_servers(count: usize, stalled: &Arc<AtomicBool>) -> io::Result<Vec<SocketAddr>> {
     let mut threads: Vec<Vec<TcpListener>> = (0..THREADS).map(|_| Vec::new()).collect();
     let mut addresses = Vec::new();
-    for n in 0..count {
+    for index in 0..count {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         listener.set_nonblocking(true)?;
         addresses.push(listener.local_addr()?);
-        threads[n % THREADS].push(listener);
+        threads[index % THREADS].push(listener);
     }
     for listeners in threads {
-        let silent = Arc::clone(silent);
-        on_a_thread(async move {
+        let stalled = Arc::clone(stalled);
+        spawn_runtime_thread(async move {
             for listener in listeners {
-                spawn_local(serve(tokio::net::TcpListener::from_std(listener)?, Arc::clone(&silent)));
+                spawn_local(serve(tokio::net::TcpListener::from_std(listener)?, Arc::clone(&stalled)));
             }
             std::future::pending::<io::Result<()>>().await
         });
@@ -152,8 +159,9 @@
     Ok(addresses)
 }
 
-/// Runs it on a thread of its own, whose tasks end with it.
-pub(crate) fn on_a_thread<T: Send + 'static>(
+/// Runs `work` on a new thread with a current-thread runtime. Tasks that it spawned are dropped when it
+/// returns.
+pub(crate) fn spawn_runtime_thread<T: Send + 'static>(
     work: impl Future<Output = io::Result<T>> + Send + 'static,
 ) -> std::thread::JoinHandle<io::Result<T>> {
     std::thread::spawn(move || {
@@ -162,110 +170,124 @@
     })
 }
 
-async fn serve(listener: tokio::net::TcpListener, silent: Arc<AtomicBool>) {
-    let answer = |request: Request<Incoming>, silent: Arc<AtomicBool>| async move {
-        if silent.load(Ordering::Relaxed) {
+async fn serve(listener: tokio::net::TcpListener, stalled: Arc<AtomicBool>) {
+    let respond = |request: Request<Incoming>, stalled: Arc<AtomicBool>| async move {
+        if stalled.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
-        Ok::<_, Infallible>(answer_at_once(&request))
+        Ok::<_, Infallible>(immediate_response(&request))
     };
     while let Ok((stream, _)) = listener.accept().await {
-        // Fails only where the connection is broken already.
+        // Fails only if the connection has already been reset.
         let _ = stream.set_nodelay(true);
-        let silent = Arc::clone(&silent);
+        let stalled = Arc::clone(&stalled);
         spawn_local(async move {
-            let service = service_fn(|request| answer(request, Arc::clone(&silent)));
-            // How it ends is seen by whoever asked.
+            let service = service_fn(|request| respond(request, Arc::clone(&stalled)));
+            // An error needs no handling here: the client sees it as the failure of its request.
             let _ = Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-/// What an order server makes of a request without any work.
-pub(crate) fn answer_at_once(request: &Request<Incoming>) -> Response<Full<Bytes>> {
+/// The response of an order server that needs no processing time: its body depends only on the request's
+/// `x-txn` header.
+pub(crate) fn immediate_response(request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let txn = request.headers().get("x-txn").and_then(|txn| txn.to_str().ok());
     let txn = txn.and_then(|txn| usize::from_str_radix(txn, 16).ok()).unwrap_or(usize::MAX);
     Response::new(Full::new(Bytes::from(body_of(Txn(txn)))))
 }
 
-/// What clients counted.
-struct Counted {
+/// The results of one or more clients.
+struct ClientResults {
     latency: Histogram<u64>,
     unserved: u64,
 }
 
-/// So many clients, dealt out over threads, that ask for so long.
-async fn ask(
+/// Runs `clients` clients for `duration`, evenly distributed over `threads` threads.
+async fn run_clients(
     proxy: &Rc<Proxy>,
     class: &Class,
     threads: usize,
     clients: usize,
-    lasts: Duration,
-) -> io::Result<Counted> {
-    let (address, until) = (proxy.address, Instant::now() + lasts);
-    let share = |thread| (clients + threads - 1 - thread) / threads;
+    duration: Duration,
+) -> io::Result<ClientResults> {
+    let (address, deadline) = (proxy.address, Instant::now() + duration);
+    let clients_on = |thread| (clients + threads - 1 - thread) / threads;
     let running: Vec<_> = (0..threads)
-        .map(|thread| on_a_thread(ask_on_one(address, class.clone(), thread, share(thread), until)))
+        .map(|thread| {
+            spawn_runtime_thread(run_clients_on_thread(
+                address,
+                class.clone(),
+                thread,
+                clients_on(thread),
+                deadline,
+            ))
+        })
         .collect();
-    let mut all = Counted { latency: microseconds(), unserved: 0 };
+    let mut total = ClientResults { latency: microseconds(), unserved: 0 };
     for thread in running {
-        // The stand-ins of this thread, discovery above all, go on meanwhile.
-        let counted = tokio::task::spawn_blocking(|| thread.join()).await?;
-        let counted = counted.map_err(|_| io::Error::other("a client's thread has ended"))??;
-        all.latency.add(counted.latency).map_err(io::Error::other)?;
-        all.unserved += counted.unserved;
+        // Joins on another thread, because discovery and other simulated services run on this one and must
+        // not block.
+        let results = tokio::task::spawn_blocking(|| thread.join()).await?;
+        let results = results.map_err(|_| io::Error::other("client thread panicked"))??;
+        total.latency.add(results.latency).map_err(io::Error::other)?;
+        total.unserved += results.unserved;
     }
-    Ok(all)
+    Ok(total)
 }
 
-async fn ask_on_one(
+async fn run_clients_on_thread(
     address: SocketAddr,
     class: Class,
     thread: usize,
     clients: usize,
-    until: Instant,
-) -> io::Result<Counted> {
-    let list_request = (0..clients).map(|client| {
+    deadline: Instant,
+) -> io::Result<ClientResults> {
+    let client_tasks = (0..clients).map(|client| {
         let class = class.clone();
         spawn_local(async move {
-            let mut counted = Counted { latency: microseconds(), unserved: 0 };
+            let mut results = ClientResults { latency: microseconds(), unserved: 0 };
             let mut sender = connect(address).await?;
             let mut txn = Txn(thread << 56 | client << 40);
-            while Instant::now() < until {
+            while Instant::now() < deadline {
                 txn.0 += 1;
                 let sent = Instant::now();
-                if once(&mut sender, &class, txn).await {
-                    counted.latency.saturating_record(sent.elapsed().as_micros() as u64);
+                if request_is_served(&mut sender, &class, txn).await {
+                    results.latency.saturating_record(sent.elapsed().as_micros() as u64);
                 } else {
-                    counted.unserved += 1;
+                    results.unserved += 1;
                     sender = connect(address).await?;
                 }
             }
-            Ok::<_, io::Error>(counted)
+            Ok::<_, io::Error>(results)
         })
     });
-    let list_request: Vec<_> = list_request.collect();
-    let mut all = Counted { latency: microseconds(), unserved: 0 };
-    for client in list_request {
-        let counted = client.await??;
-        all.latency.add(counted.latency).map_err(io::Error::other)?;
-        all.unserved += counted.unserved;
+    let client_tasks: Vec<_> = client_tasks.collect();
+    let mut total = ClientResults { latency: microseconds(), unserved: 0 };
+    for client in client_tasks {
+        let results = client.await??;
+        total.latency.add(results.latency).map_err(io::Error::other)?;
+        total.unserved += results.unserved;
     }
-    Ok(all)
+    Ok(total)
 }
 
-/// A connection to a client proxy, or straight to an order server.
+/// Opens an HTTP/1.1 connection to a client proxy, or directly to an order server.
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<SendRequest<Empty<Bytes>>> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
-    // How it ends is seen by the request on it.
+    // An error of the connection also fails the request on it, where it is handled.
     spawn_local(async move { drop(connection.await) });
     Ok(sender)
 }
 
-/// Whether a request is served, with what an order server made for it.
-pub(crate) async fn once(sender: &mut SendRequest<Empty<Bytes>>, class: &Class, txn: Txn) -> bool {
+/// Sends a request. True if the response has the body that an order server generates for `txn`.
+pub(crate) async fn request_is_served(
+    sender: &mut SendRequest<Empty<Bytes>>,
+    class: &Class,
+    txn: Txn,
+) -> bool {
     let request = Request::get(format!("/{}", class.name))
         .header("host", "origin.svc")
         .header("x-txn", format!("{:016x}", txn.0))
--- a/testbed/src/scale/real/listing.rs
+++ b/testbed/src/scale/real/listing.rs
@@ -24,7 +24,7 @@
 use tokio_util::io::{InspectReader, InspectWriter};
 
 use super::late::TimerDelay;
-use crate::saturate::on_a_thread;
+use crate::saturate::spawn_runtime_thread;
 
 /// The protocol's upper limit for the wait of a watch.
 const MAX_WAIT: Duration = Duration::from_secs(60);
@@ -167,7 +167,7 @@
         listener.set_nonblocking(true)?;
         let (address, timer_delay) = (listener.local_addr()?, TimerDelay::default());
         let (server_state, thread_delay) = (Arc::clone(&shared), timer_delay.clone());
-        on_a_thread(async move {
+        spawn_runtime_thread(async move {
             spawn_local(thread_delay.measure());
             serve(TcpListener::from_std(listener)?, server_state).await
         });
--- a/testbed/src/scale/real/load.rs
+++ b/testbed/src/scale/real/load.rs
@@ -25,7 +25,7 @@
 use super::late::TimerDelay;
 use crate::chance::exponential;
 use crate::ledger::{Txn, microseconds};
-use crate::saturate::{answer_at_once, connect, on_a_thread, once};
+use crate::saturate::{connect, immediate_response, request_is_served, spawn_runtime_thread};
 use crate::scenario::{Class, Scope, Semantics};
 
 /// The arrival of a request at an order server.
@@ -62,7 +62,7 @@
         let (port, timer_delay, arrivals) =
             (listener.local_addr()?.port(), TimerDelay::default(), Arc::default());
         let (thread_delay, recorded) = (timer_delay.clone(), Arc::clone(&arrivals));
-        on_a_thread(async move {
+        spawn_runtime_thread(async move {
             spawn_local(thread_delay.measure());
             serve(TcpListener::from_std(listener)?, recorded).await
         });
@@ -85,7 +85,7 @@
             let service = service_fn(|request| {
                 let arrival = Arrival { at: Instant::now(), address };
                 arrivals.lock().unwrap_or_else(PoisonError::into_inner).push(arrival);
-                async move { Ok::<_, Infallible>(answer_at_once(&request)) }
+                async move { Ok::<_, Infallible>(immediate_response(&request)) }
             });
             // Connection errors show at the client.
             let _ = Builder::new().serve_connection(TokioIo::new(stream), service).await;
@@ -122,7 +122,9 @@
         let (stats, stopped) = (Arc::<Mutex<ClientStats>>::default(), Arc::<AtomicBool>::default());
         let (schedule, scheduled) = mpsc::unbounded_channel();
         let client_stats = Arc::clone(&stats);
-        on_a_thread(async move { spawn_local(send_requests(address, scheduled, client_stats)).await? });
+        spawn_runtime_thread(
+            async move { spawn_local(send_requests(address, scheduled, client_stats)).await? },
+        );
         let pacer_stopped = Arc::clone(&stopped);
         // A separate thread, because the timers of the clients' runtime have a resolution of 1 ms.
         let pacer = thread::spawn(move || {
@@ -188,7 +190,7 @@
             let sent_at = Instant::now();
             let mut served = false;
             if let Ok(mut sender) = sender {
-                served = once(&mut sender, &class, txn).await;
+                served = request_is_served(&mut sender, &class, txn).await;
                 if served {
                     idle.borrow_mut().push(sender);
                 }
--- a/testbed/src/scale/relay/watchers.rs
+++ b/testbed/src/scale/relay/watchers.rs
@@ -25,7 +25,7 @@
 
 use super::super::real::late::TimerDelay;
 use crate::chance::{stream, uniform};
-use crate::saturate::on_a_thread;
+use crate::saturate::spawn_runtime_thread;
 
 /// As in the client proxy.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
@@ -122,7 +122,7 @@
                 plans.iter().cloned().enumerate().skip(thread).step_by(threads).collect();
             let (shared, shutdown, timer_delay) =
                 (Arc::clone(&shared), shutdown.clone(), timer_delay.clone());
-            on_a_thread(async move {
+            spawn_runtime_thread(async move {
                 spawn_local(timer_delay.measure());
                 for (number, plan) in own_plans {
                     let rng = stream(seed, &format!("watcher {number}"));
