--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -2,9 +2,9 @@
 #![allow(dead_code, unused_imports)] // each test binary uses a different part
 
 pub mod fleet;
-mod rig;
+mod harness;
 
-pub use rig::*;
+pub use harness::*;
 
 use balancer::*;
 
--- a/client-proxy/src/process_state.rs
+++ b/client-proxy/src/process_state.rs
@@ -4,7 +4,7 @@
 
 mod state_file;
 
-mod put_back;
+mod enabled_times;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-pub use self::put_back::EnabledTimes;
+pub use self::enabled_times::EnabledTimes;
 use self::state_file::{CommitDecision, Contents, FailedChange, Fingerprint, StateFile, StateFileError};
 use crate::clock::{Clock, boot_id};
 use crate::names::Names;
--- a/client-proxy/tests/common/mod.rs
+++ b/client-proxy/tests/common/mod.rs
@@ -7,8 +7,8 @@
 
 mod client;
 mod discovery_server;
-pub mod ending;
 mod messages;
+pub mod termination;
 mod upstream;
 
 pub use client::*;
--- a/client-proxy/tests/shutdown_faults.rs
+++ b/client-proxy/tests/shutdown_faults.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::ending::*;
+use common::termination::*;
 use common::*;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -2,10 +2,10 @@
 //! which the client proxy's configuration file uses too.
 #![forbid(unsafe_code)]
 
-mod link;
+mod adapter;
 mod settings;
 mod wire;
 
-pub use link::{AdapterError, convert_load_report, run};
+pub use adapter::{AdapterError, convert_load_report, run};
 pub use settings::{WireSettings, convert_settings};
 pub use wire::Metrics;
