--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -224,8 +224,8 @@
     let binary = binary.map_or_else(build_client_proxy, Ok)?;
     let mut pairs = Vec::new();
     for &seed in seeds {
-        // The first run can change the state in which the second one finds the machine, so the order alternates
-        // from seed to seed.
+        // The first run can change the state in which the second one finds the machine, so the order
+        // alternates from seed to seed.
         let baseline_first = pairs.len() % 2 == 0;
         let order = if baseline_first { [base, &binary] } else { [&binary, base] };
         let [first, second] = order.map(|program| run_in_temporary_dir(&scenario, program, seed, false));
