--- a/testbed/src/scale/depth.rs
+++ b/testbed/src/scale/depth.rs
@@ -233,7 +233,7 @@
                     }
                     Action::Reject { id, .. } | Action::Fail { id } => self.finish_request(level, id, false),
                     Action::SetTimer { at, token } => {
-                        self.timeline.schedule_at(at, SimEvent::Timer { level, token })
+                        self.timeline.schedule_at(at, SimEvent::Timer { level, token });
                     }
                     // The remaining actions are about discovery and connections, which this simulation does
                     // not have.
--- a/testbed/src/scale/virtual_fleet.rs
+++ b/testbed/src/scale/virtual_fleet.rs
@@ -174,10 +174,10 @@
         for step in next_steps {
             match step {
                 NextStep::Poll { delay_ms } => {
-                    self.timeline.schedule_after(delay_ms, SimEvent::SendPoll { watcher })
+                    self.timeline.schedule_after(delay_ms, SimEvent::SendPoll { watcher });
                 }
                 NextStep::Timer { at, token } => {
-                    self.timeline.schedule_at(at, SimEvent::Timer { watcher, token })
+                    self.timeline.schedule_at(at, SimEvent::Timer { watcher, token });
                 }
             }
         }
@@ -205,7 +205,7 @@
             }
             SimEvent::SendPoll { watcher } => self.send_poll(watcher),
             SimEvent::TimedOut(poll) | SimEvent::ConnectionFailed(poll) if self.is_in_flight(poll) => {
-                self.fail_poll(poll)
+                self.fail_poll(poll);
             }
             SimEvent::TimedOut(_) | SimEvent::ConnectionFailed(_) => {}
             SimEvent::LongPollEnded(poll) => {
